--- a/internal/stageplan/chain_load_test.go
+++ b/internal/stageplan/chain_load_test.go
@@ -11,28 +11,29 @@
 
 const (
 	chainStep = 5 * time.Millisecond
-	// ways is what a message takes between two hosts and back.
-	ways = 8 * time.Millisecond
-	// clumpSpread is within how long requests come that come together.
+	// roundTrip is the time of a message between two hosts and back.
+	roundTrip = 8 * time.Millisecond
+	// clumpSpread is the span within which requests of one clump arrive.
 	clumpSpread = 25 * time.Millisecond
-	// comeBackWithin is within how long callers find hosts again after a loss.
-	comeBackWithin = 200 * time.Millisecond
-	// engineDelay is how much longer engines are taken to need.
+	// reconnectSpread is the span within which callers reach hosts again after a loss.
+	reconnectSpread = 200 * time.Millisecond
+	// engineDelay is the assumed extra time of engines.
 	engineDelay = 20 * time.Millisecond
-	// stageTurn is what a stage is taken to need beside its call.
-	stageTurn = 30 * time.Millisecond
-	// worthWindow is the span of which the worst ones are told.
-	worthWindow = 2 * time.Second
+	// stageOverhead is the assumed time of a stage besides its call.
+	stageOverhead = 30 * time.Millisecond
+	// valueWindow is the length of the windows whose worst ones are reported.
+	valueWindow = 2 * time.Second
 )
 
 // chainStage is one stage of a kind of request.
 type chainStage struct {
 	pool  string
 	after []int
-	// share of the requests have the stage, of about pieces pieces.
+	// share is the fraction of requests that have the stage, pieces their mean number of
+	// pieces.
 	share, pieces float64
 	bytes         int64
-	// effort is how long a piece takes of its pool's usual time.
+	// effort is the time of a piece relative to its pool's usual time.
 	effort float64
 }
 
@@ -41,7 +42,7 @@
 	name             string
 	perSecond        float64
 	objective, limit time.Duration
-	worth, late      float64
+	value, late      float64
 	priority         int
 	read             time.Duration
 	stages           []chainStage
@@ -53,31 +54,31 @@
 	servers int
 }
 
-// burst is a time in which more requests of a kind come; an empty kind is any.
+// burst is a period in which more requests of a kind arrive; an empty kind is any.
 type burst struct {
 	kind     string
 	at, ends time.Duration
 	times    float64
 }
 
-// outage is a time in which servers of a pool are gone, or slow.
+// outage is a period in which servers of a pool are down or slow.
 type outage struct {
 	pool     string
 	at, ends time.Duration
 	servers  int
-	// slowness is how many times as long calls take; 0 is that the servers are gone.
+	// slowness is the factor by which calls take longer; 0 means that the servers are down.
 	slowness float64
 }
 
-// loss is a time without hosts: what they held is gone, but for results at servers.
+// loss is a period without hosts. All their state is lost, while servers keep their results.
 type loss struct{ at, ends time.Duration }
 
 // chainLoad is a load over several pools.
 type chainLoad struct {
-	pools   []poolLoad
-	kinds   []kind
-	bursts  []burst
-	outages []outage
-	losses  []loss
-	lasts   time.Duration
+	pools    []poolLoad
+	kinds    []kind
+	bursts   []burst
+	outages  []outage
+	losses   []loss
+	duration time.Duration
 }
--- a/internal/stageplan/chain_pool_test.go
+++ b/internal/stageplan/chain_pool_test.go
@@ -13,7 +13,7 @@
 	"github.com/wingvale/wingvale/internal/stageplan"
 )
 
-// chainServer is one server as it is, whatever its scheduler knows.
+// chainServer is the simulated state of one server, independent of what its scheduler knows.
 type chainServer struct {
 	stageplan.Server
 	freeAt time.Time
@@ -21,19 +21,19 @@
 	used   int64
 }
 
-// chainResult is one result that takes up room.
+// chainResult is one result that occupies memory.
 type chainResult struct {
 	bytes   int64
 	expires time.Time
 }
 
-// drop frees a result's room.
+// drop frees the memory of a result.
 func (s *chainServer) drop(handle string) {
 	s.used -= s.held[handle].bytes
 	delete(s.held, handle)
 }
 
-// chainCall is one call under way.
+// chainCall is one call in flight.
 type chainCall struct {
 	call *stageplan.Call
 	ends time.Time
@@ -65,14 +65,14 @@
 	return pool
 }
 
-// change takes servers away and brings them back.
-func (p *chainPlayer) change(at time.Duration) {
+// applyOutages stops servers and restarts them.
+func (p *chainSimulator) applyOutages(at time.Duration) {
 	for _, o := range p.outages {
 		if o.slowness > 0 || at != o.at && at != o.ends {
 			continue
 		}
 		pool := p.byName[o.pool]
-		var there []stageplan.Server
+		var available []stageplan.Server
 		for i, s := range pool.sorted() {
 			if at == o.at && i < o.servers {
 				clear(s.held)
@@ -86,32 +86,32 @@
 				})
 				continue
 			}
-			there = append(there, s.Server)
+			available = append(available, s.Server)
 		}
-		pool.scheduler.SetServers(there)
+		pool.scheduler.SetServers(available)
 	}
 }
 
-// lose ends all hosts; callers come back once there are hosts again.
-func (p *chainPlayer) lose(at time.Duration) {
+// loseHosts stops all hosts; callers come back once there are hosts again.
+func (p *chainSimulator) loseHosts(at time.Duration) {
 	for _, l := range p.losses {
 		if at == l.at {
 			for _, pool := range p.byName {
-				pool.forget()
+				pool.changeOwner()
 			}
 		}
 		if !within(at, l.at, l.ends) {
 			continue
 		}
 		for _, r := range p.requests {
-			spread := time.Duration(p.chances.Float64() * float64(comeBackWithin))
-			r.begin(start.Add(l.ends + spread))
+			spread := time.Duration(p.chances.Float64() * float64(reconnectSpread))
+			r.restart(start.Add(l.ends + spread))
 		}
 	}
 }
 
-// forget lets another host own the pool, which knows of nothing that was sent.
-func (c *chainPool) forget() {
+// changeOwner hands the pool to another host, which has no state of earlier calls.
+func (c *chainPool) changeOwner() {
 	c.calls = nil
 	var servers []stageplan.Server
 	for _, s := range c.scheduler.Servers() {
@@ -130,8 +130,8 @@
 	return states
 }
 
-// end brings the answers of calls.
-func (c *chainPool) end(now time.Time) {
+// deliver delivers the answers of calls that have ended.
+func (c *chainPool) deliver(now time.Time) {
 	c.calls = slices.DeleteFunc(c.calls, func(call chainCall) bool {
 		if call.ends.After(now) {
 			return false
@@ -144,19 +144,19 @@
 	})
 }
 
-// send takes the scheduler's calls to their servers.
-func (p *chainPlayer) send(c *chainPool, at time.Duration) {
+// send delivers the scheduler's calls to their servers.
+func (p *chainSimulator) send(c *chainPool, at time.Duration) {
 	now := start.Add(at)
 	for {
 		call, ok := c.scheduler.Next(now)
 		if !ok {
 			return
 		}
-		c.take(call, now, p.slowness(c, call, at), p)
+		c.run(call, now, p.slowness(c, call, at), p)
 	}
 }
 
-func (p *chainPlayer) slowness(c *chainPool, call *stageplan.Call, at time.Duration) float64 {
+func (p *chainSimulator) slowness(c *chainPool, call *stageplan.Call, at time.Duration) float64 {
 	position := slices.IndexFunc(c.sorted(), func(s *chainServer) bool { return s.Address == call.Server().Address })
 	for _, o := range p.outages {
 		if o.pool == c.spec.Service && o.slowness > 0 && position < o.servers && within(at, o.at, o.ends) {
@@ -166,15 +166,15 @@
 	return 1
 }
 
-// take lets a server work on a call.
-func (c *chainPool) take(call *stageplan.Call, now time.Time, slowness float64, p *chainPlayer) {
+// run runs a call on its server.
+func (c *chainPool) run(call *stageplan.Call, now time.Time, slowness float64, p *chainSimulator) {
 	state := c.states[call.Server().Address]
 	for handle, result := range state.held {
 		if now.After(result.expires) {
 			state.drop(handle)
 		}
 	}
-	begins := now.Add(ways / 2)
+	begins := now.Add(roundTrip / 2)
 	if state.freeAt.After(begins) {
 		begins = state.freeAt
 	}
@@ -189,7 +189,7 @@
 			r.worked += c.spec.CallTime/time.Duration(len(items)) + time.Duration(effort*float64(c.spec.PieceTime))
 		}
 		if state.used+bytes > c.spec.Room {
-			p.played.noRoom++
+			p.summary.noRoom++
 			made = append(made, stageplan.Outcome{Failure: stageplan.FailureRoom})
 			continue
 		}
@@ -205,6 +205,6 @@
 	}
 	takes = time.Duration(float64(takes) * slowness)
 	state.freeAt = begins.Add(takes)
-	p.played.worked += takes
-	c.calls = append(c.calls, chainCall{call: call, ends: state.freeAt.Add(ways / 2), made: made})
+	p.summary.worked += takes
+	c.calls = append(c.calls, chainCall{call: call, ends: state.freeAt.Add(roundTrip / 2), made: made})
 }
--- a/internal/stageplan/chain_request_test.go
+++ b/internal/stageplan/chain_request_test.go
@@ -12,7 +12,7 @@
 	"github.com/wingvale/wingvale/internal/stageplan"
 )
 
-// chainRequest is one request under way.
+// chainRequest is one request in flight.
 type chainRequest struct {
 	*kind
 	number  int
@@ -24,20 +24,20 @@
 	results [][]stageplan.Result
 	ended   []bool
 	freed   []bool
-	// readyAt is when the engine's first event comes; zero before it began.
+	// readyAt is when the engine's first event arrives; zero before the engine has started.
 	readyAt time.Time
-	// back is when the caller comes back after a refusal.
-	back    time.Time
-	refused int
+	// retryAt is when the caller retries after a refusal.
+	retryAt  time.Time
+	refusals int
 	// zone is where its large results are used.
 	zone   string
 	worked time.Duration
 	done   bool
 }
 
-// begin lets a request begin anew at a moment.
-func (r *chainRequest) begin(at time.Time) {
-	r.back = at
+// restart starts a request over at a time.
+func (r *chainRequest) restart(at time.Time) {
+	r.retryAt = at
 	r.readyAt = time.Time{}
 	clear(r.results)
 	for i := range r.tasks {
@@ -46,7 +46,7 @@
 }
 
 // longest adds up the longest time of each depth.
-func (p *chainPlayer) longest(r *chainRequest, depth int, timeOf func(*stageplan.Scheduler) time.Duration) time.Duration {
+func (p *chainSimulator) longest(r *chainRequest, depth int, timeOf func(*stageplan.Scheduler) time.Duration) time.Duration {
 	longest := make(map[int]time.Duration)
 	for i, s := range r.stages {
 		if r.pieces[i] > 0 && r.depth[i] <= depth {
@@ -60,21 +60,21 @@
 	return total
 }
 
-// estimate is how long the stages from a depth on take that are next in their queues.
-func (p *chainPlayer) estimate(r *chainRequest, depth int) time.Duration {
-	return p.longest(r, depth, func(s *stageplan.Scheduler) time.Duration { return s.CallTime() + stageTurn })
+// estimate returns the time of the stages from a depth on, if none of them had to queue.
+func (p *chainSimulator) estimate(r *chainRequest, depth int) time.Duration {
+	return p.longest(r, depth, func(s *stageplan.Scheduler) time.Duration { return s.CallTime() + stageOverhead })
 }
 
-// waits is how long the stages wait for their turns that have so much time to wait.
-func (p *chainPlayer) waits(r *chainRequest, slack time.Duration, now time.Time) time.Duration {
+// waits returns the queueing time of the stages for a request with the given slack.
+func (p *chainSimulator) waits(r *chainRequest, slack time.Duration, now time.Time) time.Duration {
 	return p.longest(r, len(r.stages), func(s *stageplan.Scheduler) time.Duration {
 		return s.Queue(now).Before(slack + s.CallTime() + stageplan.PriorityTime(r.priority))
 	})
 }
 
-// admit refuses a request where its pools are too full, or begins it.
-func (p *chainPlayer) admit(r *chainRequest, now time.Time) {
-	r.back = time.Time{}
+// admit refuses a request if its pools are overloaded, and starts it otherwise.
+func (p *chainSimulator) admit(r *chainRequest, now time.Time) {
+	r.retryAt = time.Time{}
 	request := admit.Request{
 		Left:      r.at.Add(r.objective).Sub(now),
 		Objective: r.objective,
@@ -101,56 +101,56 @@
 	return deepest
 }
 
-func (p *chainPlayer) refuse(r *chainRequest, now time.Time) {
-	r.refused++
-	p.free(r, true)
+func (p *chainSimulator) refuse(r *chainRequest, now time.Time) {
+	r.refusals++
+	p.release(r, true)
 	for _, t := range r.tasks {
 		if t != nil {
 			t.Finish(stageplan.FailureLate)
 		}
 	}
-	if r.refused > 1 {
-		p.settle(r, now, false)
+	if r.refusals > 1 {
+		p.count(r, now, false)
 		return
 	}
 	left := r.at.Add(r.limit).Sub(now)
-	r.begin(now.Add(time.Duration(float64(left) / 3 * (0.5 + 0.5*p.chances.Float64()))))
+	r.restart(now.Add(time.Duration(float64(left) / 3 * (0.5 + 0.5*p.chances.Float64()))))
 }
 
-// settle counts a request.
-func (p *chainPlayer) settle(r *chainRequest, now time.Time, served bool) {
+// count counts a finished request.
+func (p *chainSimulator) count(r *chainRequest, now time.Time, served bool) {
 	r.done = true
 	earned := 0.0
 	took := now.Sub(r.at)
 	switch {
 	case served && took <= r.objective:
-		earned = r.worth
-		p.played.inTime[r.name]++
+		earned = r.value
+		p.summary.inTime[r.name]++
 	case served:
 		earned = r.late
-		p.played.late[r.name]++
+		p.summary.late[r.name]++
 	default:
-		p.played.lost[r.name]++
-		p.played.wasted += r.worked
+		p.summary.lost[r.name]++
+		p.summary.wasted += r.worked
 	}
 	if served {
-		p.played.first[r.name] = append(p.played.first[r.name], took)
-	}
-	v := p.played.byKind[r.name]
-	p.played.byKind[r.name] = worth{owed: v.owed + r.worth, earned: v.earned + earned}
-	p.played.owed += r.worth
-	p.played.earned += earned
-	window := int(r.at.Sub(start) / worthWindow)
-	for len(p.played.windowOwed) <= window {
-		p.played.windowOwed = append(p.played.windowOwed, 0)
-		p.played.windowEarned = append(p.played.windowEarned, 0)
-	}
-	p.played.windowOwed[window] += r.worth
-	p.played.windowEarned[window] += earned
+		p.summary.first[r.name] = append(p.summary.first[r.name], took)
+	}
+	v := p.summary.byKind[r.name]
+	p.summary.byKind[r.name] = value{possible: v.possible + r.value, earned: v.earned + earned}
+	p.summary.possible += r.value
+	p.summary.earned += earned
+	window := int(r.at.Sub(start) / valueWindow)
+	for len(p.summary.windowPossible) <= window {
+		p.summary.windowPossible = append(p.summary.windowPossible, 0)
+		p.summary.windowEarned = append(p.summary.windowEarned, 0)
+	}
+	p.summary.windowPossible[window] += r.value
+	p.summary.windowEarned[window] += earned
 }
 
-// free gives up results that no stage needs any more; all where nothing needs any.
-func (p *chainPlayer) free(r *chainRequest, all bool) {
+// release releases the results that no stage needs any more, or all of them.
+func (p *chainSimulator) release(r *chainRequest, all bool) {
 	for i, results := range r.results {
 		if len(results) == 0 || r.freed[i] {
 			continue
@@ -173,7 +173,7 @@
 	}
 }
 
-func (p *chainPlayer) collect(r *chainRequest, now time.Time) {
+func (p *chainSimulator) collect(r *chainRequest, now time.Time) {
 	for i, t := range r.tasks {
 		if t == nil || r.ended[i] {
 			continue
@@ -190,21 +190,21 @@
 		r.results[i] = t.Results()
 		for _, result := range t.Results() {
 			if r.stages[i].bytes >= 256<<10 && result.Zone != r.zone {
-				p.played.crossed += r.stages[i].bytes
+				p.summary.crossedZones += r.stages[i].bytes
 			}
 		}
 	}
-	p.free(r, false)
+	p.release(r, false)
 }
 
-func (p *chainPlayer) startStages(r *chainRequest, now time.Time) {
+func (p *chainSimulator) startStages(r *chainRequest, now time.Time) {
 	for i, s := range r.stages {
 		if r.tasks[i] != nil || r.ended[i] || !r.ready(i) {
 			continue
 		}
 		after := p.estimate(r, r.depth[i]-1) + r.kind.read + engineDelay
 		w := stageplan.Work{
-			Service: s.pool, Request: fmt.Sprint(r.number, ".", r.refused), Stage: i,
+			Service: s.pool, Request: fmt.Sprint(r.number, ".", r.refusals), Stage: i,
 			Latest: r.at.Add(r.objective - after), Deadline: r.at.Add(r.limit - time.Duration(r.depth[i]-1)*200*time.Millisecond - r.kind.read),
 			Priority: r.priority, ResultBytes: s.bytes, Beside: len(r.stages) > 3 && r.depth[i] == 1 && r.pieces[0] > 0,
 		}
@@ -219,7 +219,7 @@
 				w.InputBytes += r.stages[before].bytes
 			}
 		}
-		r.tasks[i] = p.byName[s.pool].scheduler.Add(now.Add(-ways/2), w)
+		r.tasks[i] = p.byName[s.pool].scheduler.Add(now.Add(-roundTrip/2), w)
 	}
 }
 
@@ -237,7 +237,7 @@
 	return true
 }
 
-func (p *chainPlayer) requestOf(name string) *chainRequest {
+func (p *chainSimulator) requestOf(name string) *chainRequest {
 	number := 0
 	_, _ = fmt.Sscanf(name, "%d.", &number)
 	for _, r := range p.requests {
--- a/internal/stageplan/aside_test.go
+++ b/internal/stageplan/defer_test.go
@@ -15,16 +15,16 @@
 
 const ms = time.Millisecond
 
-// due is work that must have ended in so long, of a priority.
+// due returns work that must have ended after a time, with a priority.
 func due(name string, pieces, priority int, in time.Duration) stageplan.Work {
 	w := work(name, pieces)
 	w.Priority, w.Latest = priority, start.Add(in)
 	return w
 }
 
-// One call can be made before all that waits is late: a task that fills it goes after
-// those of one piece that share it, though it is due first.
-func TestTheDearestIsSetAsideWhereNotAllCanBeInTime(t *testing.T) {
+// Only one call ends before all waiting tasks are late. A task that fills it alone must go
+// after the tasks of one piece that fit in it together, although it is due first.
+func TestCostliestTaskIsDeferredWhenNotAllCanBeInTime(t *testing.T) {
 	s := newScheduler(spec, server(1, "a"))
 	s.Add(start, due("large", 8, 0, 400*ms))
 	for i := range 4 {
@@ -33,9 +33,9 @@
 	assert.DeepEqual(t, requests(next(t, s, start))[:4], []string{"0", "1", "2", "3"})
 }
 
-// Work of four pieces that is less urgent has waited so long that it goes first. With
-// more urgent work of five pieces than can be in time it is set aside.
-func TestLessUrgentWorkIsSetAsideFirst(t *testing.T) {
+// A less urgent task of four pieces has waited so long that it would go first. If more urgent
+// work of five pieces waits than can be in time, the less urgent task must be deferred.
+func TestLessUrgentWorkIsDeferredFirst(t *testing.T) {
 	for _, c := range []struct {
 		urgent int
 		cheap  bool
@@ -45,13 +45,13 @@
 		for i := range c.urgent {
 			s.Add(start, due(fmt.Sprint(i), 5, 0, 400*ms+stageplan.PriorityTime(1)+ms))
 		}
-		assert.Equal(t, requests(next(t, s, start))[0] == "cheap", c.cheap, "beside %d urgent ones", c.urgent)
+		assert.Equal(t, requests(next(t, s, start))[0] == "cheap", c.cheap, "with %d urgent tasks", c.urgent)
 	}
 }
 
-// A server of its zone works for another 280 ms: work that can wait for it does, and
-// work that would be late leaves the zone at once.
-func TestWorkLeavesAZoneThatWouldMakeItLate(t *testing.T) {
+// The server of the task's zone is busy for another 280 ms. Tasks that can wait for it do.
+// Tasks that would be late may run in another zone immediately.
+func TestWorkLeavesZoneThatWouldMakeItLate(t *testing.T) {
 	for _, c := range []struct {
 		latest time.Duration
 		leaves bool
@@ -72,18 +72,18 @@
 	}
 }
 
-// Ten requests a second come in time, and callers that come back late beside them: the
-// late ones get servers while more than half of them are free. Where nothing comes they get
-// all.
-func TestLateWorkLeavesServersForWhatComes(t *testing.T) {
+// Ten requests a second arrive in time, and late ones of returning callers along with them.
+// Late ones may use servers only while more than half of the servers are free. If no others
+// arrive they may use all servers.
+func TestLateWorkLeavesServersForArrivingWork(t *testing.T) {
 	for _, c := range []struct {
-		comes bool
-		calls int
+		othersArrive bool
+		calls        int
 	}{{true, 2}, {false, 4}} {
 		s := newScheduler(spec, server(1, "a"), server(2, "a"), server(3, "a"), server(4, "a"))
 		now := start
 		for i := range 10 {
-			if !c.comes {
+			if !c.othersArrive {
 				break
 			}
 			w := due(fmt.Sprint("timely", i), 1, 0, 2*time.Second)
@@ -102,15 +102,16 @@
 			}
 			calls++
 		}
-		assert.Equal(t, calls, c.calls, "others come in time: %v", c.comes)
+		assert.Equal(t, calls, c.calls, "others arrive in time: %v", c.othersArrive)
 	}
 }
 
-// BenchmarkNextInACrowd looks for the next call while tasks wait and all servers work.
-func BenchmarkNextInACrowd(b *testing.B) {
+// BenchmarkNextWithBacklog searches for the next call while tasks wait and all servers are
+// busy.
+func BenchmarkNextWithBacklog(b *testing.B) {
 	for _, c := range []struct{ servers, tasks int }{{24, 500}, {24, 72}, {48, 144}, {96, 288}, {180, 540}} {
 		b.Run(fmt.Sprintf("servers=%d/tasks=%d", c.servers, c.tasks), func(b *testing.B) {
-			s := crowded(c.servers, c.tasks)
+			s := saturated(c.servers, c.tasks)
 			for b.Loop() {
 				s.Next(start)
 			}
@@ -118,8 +119,9 @@
 	}
 }
 
-// crowded returns a scheduler whose servers all work while so many tasks wait.
-func crowded(count, tasks int) *stageplan.Scheduler {
+// saturated returns a scheduler whose servers are all busy while the given number of tasks
+// wait.
+func saturated(count, tasks int) *stageplan.Scheduler {
 	var servers []stageplan.Server
 	for i := range count {
 		servers = append(servers, server(i+1, string(rune('a'+i%3))))
--- a/internal/stageplan/doc.go
+++ b/internal/stageplan/doc.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The Wingvale Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package stageplan decides which pieces the next call of a stage server has, in
-// which order work of one pool goes, and what is given up. It knows no network and
-// no clock: stagepool makes the calls.
+// Package stageplan schedules the calls to the stage servers of one pool: it batches pieces
+// into calls, orders the queue, selects servers and rejects work that cannot finish in time.
+// It uses neither the network nor a clock; package stagepool makes the calls.
 package stageplan
--- a/internal/stageplan/helpers_test.go
+++ b/internal/stageplan/helpers_test.go
@@ -45,7 +45,7 @@
 	return w
 }
 
-// requests returns whose pieces a call has.
+// requests returns the requests of a call's pieces.
 func requests(c *stageplan.Call) []string {
 	var names []string
 	for _, item := range c.Items() {
@@ -70,7 +70,7 @@
 	return outcomes
 }
 
-// overdue gives up on calls that take far too long and returns how many.
+// overdue abandons the calls that take far too long and returns their number.
 func overdue(s *stageplan.Scheduler, now time.Time) int {
 	late, _ := s.Overdue(now)
 	return len(late)
--- a/internal/stageplan/late_test.go
+++ b/internal/stageplan/late_test.go
@@ -13,7 +13,7 @@
 	"github.com/wingvale/wingvale/internal/stageplan"
 )
 
-func TestWhatCannotBeInTimeGoesLast(t *testing.T) {
+func TestLateWorkGoesLast(t *testing.T) {
 	s := newScheduler(spec, server(1, "a"))
 	late := work("late", 8)
 	late.Latest = start.Add(50 * time.Millisecond)
@@ -22,7 +22,7 @@
 	assert.Equal(t, requests(next(t, s, start))[0], "timely")
 }
 
-func TestWhatWouldNotBeReachedEndsAtOnce(t *testing.T) {
+func TestWorkThatCannotMeetDeadlineFailsImmediately(t *testing.T) {
 	s := newScheduler(spec, server(1, "a"))
 	var tasks []*stageplan.Task
 	for i := range 40 {
@@ -41,10 +41,10 @@
 	assert.Assert(t, ended > 30 && ended < 36, "one server makes 7 such calls in 2 s, %d of 40 ended", ended)
 }
 
-// A quick note was refused 5.0 s after it was sent, though nothing of it had run.
-// All servers were at work when it came; only once one was free did the owner look
-// whether the note could be reached, and by then newer work was due sooner.
-func TestWhatCannotBeReachedIsToldWhileAllServersWork(t *testing.T) {
+// A request was refused 5.0 s after it was sent although none of it had run. All servers were
+// busy when it arrived. The scheduler checked whether it could be served only once a server
+// was free, and by then newer work was due sooner.
+func TestHopelessWorkFailsWhileAllServersAreBusy(t *testing.T) {
 	s := newScheduler(spec, server(1, "a"))
 	s.Add(start, work("running", 8))
 	next(t, s, start)
@@ -56,15 +56,15 @@
 	w.Latest, w.Deadline = start.Add(1100*time.Millisecond), start.Add(1100*time.Millisecond)
 	last := s.Add(start, w)
 	_, ok := s.Next(start)
-	assert.Assert(t, !ok, "the server works")
+	assert.Assert(t, !ok, "the server is busy")
 	failure, done := last.Ended()
 	assert.Assert(t, done, "four calls of 278 ms are ahead of it")
 	assert.Equal(t, failure, stageplan.FailureLate)
 }
 
-// crowd lets 36 pieces a second come for 3.3 s to a server that makes 29, and
-// returns when it ends.
-func crowd(t *testing.T, s *stageplan.Scheduler) time.Time {
+// overload adds 36 pieces a second for 3.3 s to a server that makes 29, and returns the time
+// at the end.
+func overload(t *testing.T, s *stageplan.Scheduler) time.Time {
 	t.Helper()
 	now := start
 	var b *stageplan.Call
@@ -79,32 +79,32 @@
 			b = next(t, s, now)
 		}
 		_, ok := s.Next(now)
-		assert.Assert(t, !ok, "the server works")
+		assert.Assert(t, !ok, "the server is busy")
 		now = now.Add(139 * time.Millisecond)
 	}
 	return now
 }
 
-// In a burst of 2.4 times the usual, late work waited for a gap until its callers
-// had left: what came was due sooner and filled every call.
-func TestLateWorkEndsAtOnceWhereTimelyWorkTakesAll(t *testing.T) {
+// In a burst of 2.4 times the usual load, late tasks waited for free capacity until their
+// callers had left: arriving work was due sooner and filled every call.
+func TestLateWorkFailsImmediatelyWhenTimelyWorkFillsPool(t *testing.T) {
 	s := newScheduler(spec, server(1, "a"))
-	now := crowd(t, s)
+	now := overload(t, s)
 	w := work("late", 1)
 	w.Latest, w.Deadline = now.Add(-time.Second), now.Add(3*time.Second)
 	late := s.Add(now, w)
 	s.Next(now)
 	failure, done := late.Ended()
-	assert.Assert(t, done, "it has 3 s, and the crowd is taken to last as long again")
+	assert.Assert(t, done, "it has 3 s, and the backlog is assumed to last as long again")
 	assert.Equal(t, failure, stageplan.FailureLate)
 }
 
-// On calm days with short bursts, callers that had come back were refused again,
-// and requests with two of three stages made were given up: 28 of worth refused
-// again where 6 had been.
-func TestWorkThatCameLateWaitsWhileTheCrowdMayEnd(t *testing.T) {
+// Under moderate load with short bursts, callers that had come back were refused again, and
+// requests with two of three stages done were abandoned. The value refused again rose from 6
+// to 28.
+func TestWorkThatArrivedLateWaitsWhileBacklogMayEnd(t *testing.T) {
 	s := newScheduler(spec, server(1, "a"))
-	now := crowd(t, s)
+	now := overload(t, s)
 	w := work("late", 1)
 	w.Latest, w.Deadline = now.Add(-time.Second), now.Add(6*time.Second)
 	late := s.Add(now, w)
@@ -113,8 +113,8 @@
 	assert.Assert(t, !done, "it has 6 s")
 }
 
-// The same work waits where less comes than the pool makes.
-func TestLateWorkWaitsForAGapThatComes(t *testing.T) {
+// The same task waits if less work arrives than the pool can do.
+func TestLateWorkWaitsForFreeCapacity(t *testing.T) {
 	s := newScheduler(spec, server(1, "a"))
 	now := start
 	var b *stageplan.Call
@@ -133,12 +133,12 @@
 	late := s.Add(now, w)
 	s.Next(now)
 	_, done := late.Ended()
-	assert.Assert(t, !done, "half of every call is free")
+	assert.Assert(t, !done, "half of every call is unused")
 }
 
-// Late tasks waited behind timely ones while their
-// inputs filled the rooms of the pool before, which came to a stand.
-func TestHeavyWorkIsNotPutOff(t *testing.T) {
+// Late tasks waited behind timely ones while their inputs filled the memory of the preceding
+// pool, which stalled.
+func TestWorkWithLargeInputsIsNotDeferred(t *testing.T) {
 	s := newScheduler(spec, server(1, "a"))
 	late := work("late", 8)
 	late.Latest, late.InputBytes = start.Add(-time.Second), 1<<20
@@ -147,9 +147,9 @@
 	assert.Equal(t, requests(next(t, s, start))[0], "late")
 }
 
-// Late pieces with large results waited while the
-// results beside them filled the rooms of another pool.
-func TestWorkBesideResultsIsNotPutOff(t *testing.T) {
+// Late pieces with large results waited while other results of the request filled the memory
+// of another pool.
+func TestWorkWithOtherResultsHeldIsNotDeferred(t *testing.T) {
 	s := newScheduler(spec, server(1, "a"))
 	late := work("late", 8)
 	late.Latest, late.Beside = start.Add(-time.Second), true
@@ -158,8 +158,8 @@
 	assert.Equal(t, requests(next(t, s, start))[0], "late")
 }
 
-// Urgent work goes before the rest, so only the urgent that waits counts for it.
-func TestWorkThatIsDueSoonerWaitsLess(t *testing.T) {
+// Urgent work precedes the rest, so only urgent work in the queue adds to its wait.
+func TestWorkDueSoonerWaitsLess(t *testing.T) {
 	s := newScheduler(spec, server(1, "a"))
 	s.Add(start, work("running", 8))
 	next(t, s, start)
--- a/internal/stageplan/order.go
+++ b/internal/stageplan/order.go
@@ -9,45 +9,43 @@
 	"time"
 )
 
-// Oldest is how long the first task has waited for the start of its pieces.
+// Oldest returns how long the longest waiting task has been queued.
 func (s *Scheduler) Oldest(now time.Time) time.Duration {
 	var oldest time.Duration
 	for _, t := range s.waiting {
-		oldest = max(oldest, now.Sub(t.arrived))
+		oldest = max(oldest, now.Sub(t.arrivedAt))
 	}
 	return oldest
 }
 
-// Queue is how long new work that can be in time waits for the start of its
-// call, roughly: what is late already goes after it, and what is due sooner
-// before it.
+// Queue estimates how long new work that can be in time waits for the start of its call. Tasks
+// that are already late go after it, and those due sooner before it.
 func (s *Scheduler) Queue(now time.Time) Queue {
 	var waits Queue
 	usable := s.usable(now)
 	if len(usable) == 0 {
-		rested, _ := s.restedIn(func(Server) bool { return true })
+		rested, _ := s.restEndsIn(func(Server) bool { return true })
 		for i := range waits {
 			waits[i] = max(s.spec.CallTime, rested)
 		}
 		return waits
 	}
-	turn := s.turn(now, usable)
+	nextFreeIn := s.nextFreeIn(now, usable)
 	rate := s.rate(now, len(usable))
 	for i, pieces := range s.ahead(now) {
-		waits[i] = turn + time.Duration(float64(pieces)/rate*float64(time.Second))
+		waits[i] = nextFreeIn + time.Duration(float64(pieces)/rate*float64(time.Second))
 	}
 	return waits
 }
 
-// ahead is how many pieces wait that go before new work due within each of
-// dueSteps.
+// ahead returns how many pieces precede new work that is due within each of dueSteps.
 func (s *Scheduler) ahead(now time.Time) [len(dueSteps)]int {
 	var ahead [len(dueSteps)]int
 	for _, t := range s.waiting {
-		if t.last || s.late(now, t) {
+		if t.deferred || s.late(now, t) {
 			continue
 		}
-		due := t.rank().Sub(now)
+		due := t.rankTime().Sub(now)
 		for i, step := range dueSteps {
 			if due <= step {
 				ahead[i] += len(t.pending)
@@ -57,35 +55,35 @@
 	return ahead
 }
 
-// rate is how many pieces a second the pool makes when more waits than it
-// takes. Where it has been crowded for a while that was seen; before, it is what
-// full calls would make.
+// rate returns the throughput of the pool in pieces a second when it is saturated. If there
+// has been a backlog for a while, it is the measured throughput; before, it is that of full
+// calls.
 func (s *Scheduler) rate(now time.Time, servers int) float64 {
-	nominal := float64(s.spec.Size*servers*s.spec.Slots) / s.even(s.spec.Size).Seconds()
-	if !s.crowdedLong(now) {
+	nominal := float64(s.spec.Size*servers*s.spec.Slots) / s.nominalTime(s.spec.Size).Seconds()
+	if !s.backlogEstablished(now) {
 		return nominal
 	}
-	return min(max(s.paced(now), paceLeast*nominal), nominal)
+	return min(max(s.currentRate(now), minThroughputShare*nominal), nominal)
 }
 
-// crowdedLong reports whether work has waited long enough for what was made and
-// what came meanwhile to tell of the pool: some calls at least, else the pieces
-// that wait for a first long call are taken for lost.
-func (s *Scheduler) crowdedLong(now time.Time) bool {
-	return !s.crowdedSince.IsZero() && now.Sub(s.crowdedSince) >= 2*max(paceSpan, s.CallTime())
+// backlogEstablished reports whether the backlog has lasted long enough for measured
+// throughput and arrivals to be meaningful. That takes at least a few calls, as otherwise the
+// pieces waiting for a first long call would be counted as lost.
+func (s *Scheduler) backlogEstablished(now time.Time) bool {
+	return !s.backlogSince.IsZero() && now.Sub(s.backlogSince) >= 2*max(throughputWindow, s.CallTime())
 }
 
-// noteCrowd notes whether more waits than free servers take.
-func (s *Scheduler) noteCrowd(now time.Time) {
+// updateBacklog records whether more tasks wait than free servers can run.
+func (s *Scheduler) updateBacklog(now time.Time) {
 	switch {
 	case len(s.waiting) == 0:
-		s.crowdedSince = time.Time{}
-	case s.crowdedSince.IsZero():
-		s.crowdedSince = now
+		s.backlogSince = time.Time{}
+	case s.backlogSince.IsZero():
+		s.backlogSince = now
 	}
 }
 
-func (s *Scheduler) busy(servers []*serverState) bool {
+func (s *Scheduler) allSlotsBusy(servers []*serverState) bool {
 	running := 0
 	for _, state := range servers {
 		running += len(state.running)
@@ -93,32 +91,32 @@
 	return running >= len(servers)*s.spec.Slots
 }
 
-// paced is how many pieces a second the pool makes lately. Where room or slow
-// servers bound it, that is less than calls and servers would allow.
-func (s *Scheduler) paced(now time.Time) float64 {
-	if s.pacedAt.IsZero() {
+// currentRate returns the recent throughput in pieces a second. If memory for results or slow
+// servers limit it, it is below what the number of calls and servers would allow.
+func (s *Scheduler) currentRate(now time.Time) float64 {
+	if s.rateUpdatedAt.IsZero() {
 		return 0
 	}
-	return s.pace * math.Exp(-now.Sub(s.pacedAt).Seconds()/paceSpan.Seconds())
+	return s.piecesPerSecond * math.Exp(-now.Sub(s.rateUpdatedAt).Seconds()/throughputWindow.Seconds())
 }
 
-// made counts pieces that were made.
-func (s *Scheduler) made(now time.Time, pieces int) {
-	s.pace = s.paced(now) + float64(pieces)/paceSpan.Seconds()
-	s.pacedAt = now
+// recordMade adds completed pieces to the throughput.
+func (s *Scheduler) recordMade(now time.Time, pieces int) {
+	s.piecesPerSecond = s.currentRate(now) + float64(pieces)/throughputWindow.Seconds()
+	s.rateUpdatedAt = now
 }
 
-// CallTime is how long calls take lately.
+// CallTime returns the average time of recent calls.
 func (s *Scheduler) CallTime() time.Duration {
-	if s.lately == 0 {
-		return s.even(s.spec.Size / 2)
+	if s.recentCallTime == 0 {
+		return s.nominalTime(s.spec.Size / 2)
 	}
-	return s.lately
+	return s.recentCallTime
 }
 
-// late reports whether a task that starts now cannot end in time. One that holds
-// room elsewhere never counts as late: while it waits, the pool where the room
-// is comes to a stand.
+// late reports whether a task that starts now would miss its objective. A task that occupies
+// memory at other servers is never late: while it waits, the pool that holds the results would
+// stall.
 func (s *Scheduler) late(now time.Time, t *Task) bool {
 	if t.holdsRoom() {
 		return false
@@ -126,51 +124,52 @@
 	return now.Add(s.CallTime() + lateMargin).After(t.Latest)
 }
 
-// order puts first what can still keep its objective, and there what must end
-// first; what is set aside goes with what is late.
-func (s *Scheduler) order(now time.Time, usable []*serverState) {
+// sortWaiting puts tasks that can still meet their objective first, ordered by rank time.
+// Deferred tasks go with the late ones.
+func (s *Scheduler) sortWaiting(now time.Time, usable []*serverState) {
 	for _, t := range s.waiting {
-		t.last = s.late(now, t)
-		t.due = t.rank()
+		t.deferred = s.late(now, t)
+		t.rankAt = t.rankTime()
 	}
 	s.sort()
-	if s.setAside(now, usable) {
+	if s.deferCostly(now, usable) {
 		s.sort()
 	}
 }
 
 func (s *Scheduler) sort() {
 	slices.SortStableFunc(s.waiting, func(a, b *Task) int {
-		if a.last != b.last {
-			if a.last {
+		if a.deferred != b.deferred {
+			if a.deferred {
 				return 1
 			}
 			return -1
 		}
-		return a.due.Compare(b.due)
+		return a.rankAt.Compare(b.rankAt)
 	})
 }
 
-// rank orders tasks: by when they must end, with some time for each priority.
-func (t *Task) rank() time.Time {
+// rankTime returns the time by which tasks are ordered: when they must end, plus an offset for
+// the priority.
+func (t *Task) rankTime() time.Time {
 	return t.Latest.Add(PriorityTime(t.Priority))
 }
 
-// PriorityTime is how much later work of a priority is taken to be due than the
-// most urgent.
+// PriorityTime returns how much later work of a priority is treated as due than the most
+// urgent work.
 func PriorityTime(priority int) time.Duration {
-	return time.Duration(priority) * priorityTime
+	return time.Duration(priority) * priorityStep
 }
 
-// giveUp ends tasks that would not be reached before they are of no use, so that
-// their callers hear of it at once, also while all servers work. The order must be
-// fresh.
-func (s *Scheduler) giveUp(now time.Time, usable []*serverState) {
-	turn := s.turn(now, usable)
+// rejectHopeless fails the tasks that would not start in time for their deadline, so that
+// their callers learn of it immediately, even while all servers are busy. The queue must be
+// sorted.
+func (s *Scheduler) rejectHopeless(now time.Time, usable []*serverState) {
+	nextFreeIn := s.nextFreeIn(now, usable)
 	rate := s.rate(now, len(usable))
 	ahead := 0
 	s.waiting = slices.DeleteFunc(s.waiting, func(t *Task) bool {
-		wait := s.reach(now, t, turn, rate, ahead)
+		wait := s.expectedWait(now, t, nextFreeIn, rate, ahead)
 		if now.Add(wait + s.spec.CallTime).After(t.Deadline) {
 			t.Finish(FailureLate)
 			return true
@@ -180,15 +179,15 @@
 	})
 }
 
-// turn is how long it takes until one of the servers is free, by how long its
-// calls are expected to take yet.
-func (s *Scheduler) turn(now time.Time, usable []*serverState) time.Duration {
-	if !s.busy(usable) {
+// nextFreeIn returns the expected time until one of the servers is free, from the expected
+// remaining time of its calls.
+func (s *Scheduler) nextFreeIn(now time.Time, usable []*serverState) time.Duration {
+	if !s.allSlotsBusy(usable) {
 		return 0
 	}
-	soonest := s.even(s.spec.Size)
+	shortestWait := s.nominalTime(s.spec.Size)
 	for _, state := range usable {
-		soonest = min(soonest, s.freeIn(now, state))
+		shortestWait = min(shortestWait, s.nextSlotIn(now, state))
 	}
-	return soonest
+	return shortestWait
 }
--- a/internal/stageplan/outcome.go
+++ b/internal/stageplan/outcome.go
@@ -10,86 +10,86 @@
 	"time"
 )
 
-// Overdue gives up on calls that take far too long: the answer is lost, or the
-// server much slower than it was. It returns them, and reports whether there
-// are calls to look at again. What they made takes up room until it expires.
+// Overdue abandons the calls that take far too long: either the answer was lost or the server
+// is much slower than before. It returns them and reports whether it must be called again for
+// the remaining calls. Their results occupy memory until they expire.
 func (s *Scheduler) Overdue(now time.Time) (late []*Call, again bool) {
 	for _, state := range s.servers {
 		for _, b := range slices.Clone(state.running) {
-			if b.cut {
-				s.dropCut(now, b)
+			if b.cancelled {
+				s.dropCancelled(now, b)
 				again = true
 				continue
 			}
-			if now.Sub(b.began) < overdueAfter(b.expected) {
+			if now.Sub(b.startedAt) < overdueAfter(b.expected) {
 				again = true
 				continue
 			}
 			late = append(late, b)
 			s.remove(b)
 			b.abandoned = true
-			state.overdue(now.Sub(b.began).Seconds() / s.even(len(b.items)).Seconds())
-			state.until = now.Add(fullPause)
-			s.lose(now, b)
+			state.recordOverdue(now.Sub(b.startedAt).Seconds() / s.nominalTime(len(b.items)).Seconds())
+			state.unavailableUntil = now.Add(fullBackoff)
+			s.reserveLost(now, b)
 			s.resend(b.items)
 		}
 	}
 	return late, again
 }
 
-// overdueAfter is how long a call is waited for that was expected to take so long.
+// overdueAfter returns how long a call with the given expected time is awaited.
 func overdueAfter(expected time.Duration) time.Duration {
 	return time.Duration(overdueFactor*float64(expected)) + overdueSlack
 }
 
-// lose notes that the results of a call are not known: they take up room until
+// reserveLost accounts for the results of a call without an answer, which occupy memory until
 // they expire.
-func (s *Scheduler) lose(now time.Time, b *Call) {
+func (s *Scheduler) reserveLost(now time.Time, b *Call) {
 	b.server.used -= b.bytes
-	b.server.hold(fmt.Sprintf("lost %d", b.began.UnixNano()), b.bytes, now.Add(s.spec.Hold))
+	b.server.reserve(fmt.Sprintf("lost %d", b.startedAt.UnixNano()), b.bytes, now.Add(s.spec.Hold))
 }
 
-// Unwanted returns the calls to end because nobody has waited for their pieces
-// for unwantedFor, and reports whether there are calls to look at again. Their
-// servers stay taken until the calls should have ended: a stage server ends what
-// it is at work on, whether its caller is there or not.
-func (s *Scheduler) Unwanted(now time.Time) (cut []*Call, again bool) {
+// Unwanted returns the calls to cancel because no caller has waited for their pieces for
+// unwantedGrace, and reports whether it must be called again. Their slots remain occupied
+// until the calls should have ended, since a stage server finishes a call even if its caller
+// has left.
+func (s *Scheduler) Unwanted(now time.Time) (cancelled []*Call, again bool) {
 	for _, state := range s.servers {
 		for _, b := range state.running {
 			switch {
-			case b.cut || !b.unwanted():
-			case b.unwantedAt.IsZero():
-				b.unwantedAt = now
+			case b.cancelled || !b.unwanted():
+			case b.unwantedSince.IsZero():
+				b.unwantedSince = now
 				again = true
-			case now.Sub(b.unwantedAt) < unwantedFor:
+			case now.Sub(b.unwantedSince) < unwantedGrace:
 				again = true
 			default:
-				b.cut = true
-				cut = append(cut, b)
+				b.cancelled = true
+				cancelled = append(cancelled, b)
 			}
 		}
 	}
-	return cut, again
+	return cancelled, again
 }
 
-// dropCut frees the place of a call that was cut once it should have ended.
-func (s *Scheduler) dropCut(now time.Time, b *Call) {
-	if now.Sub(b.began) < b.expected {
+// dropCancelled frees the slot of a cancelled call once it should have ended.
+func (s *Scheduler) dropCancelled(now time.Time, b *Call) {
+	if now.Sub(b.startedAt) < b.expected {
 		return
 	}
 	s.remove(b)
 	b.abandoned = true
-	s.lose(now, b)
+	s.reserveLost(now, b)
 }
 
-// resend lets pieces wait again.
-func (s *Scheduler) resend(items []sent) {
+// resend queues pieces again.
+func (s *Scheduler) resend(items []callItem) {
 	for _, item := range items {
 		t := item.task
 		if t.ended || t.results[item.position].Handle != "" || slices.Contains(t.pending, item.position) {
 			continue
 		}
-		if t.tries[item.position] >= triesMost {
+		if t.attempts[item.position] >= maxAttempts {
 			t.Finish(FailureFailed)
 			continue
 		}
@@ -100,57 +100,57 @@
 	}
 }
 
-// Refuse notes that a call was not taken: the server was full, or could not be
+// Refuse records that a call was not accepted, because the server was full or could not be
 // reached.
 func (s *Scheduler) Refuse(now time.Time, b *Call, full bool) {
-	if b.abandoned || b.cut {
+	if b.abandoned || b.cancelled {
 		return
 	}
 	s.remove(b)
 	b.server.used -= b.bytes
 	if full {
-		b.server.until = now.Add(s.untilRoom(b.server) << min(b.server.fulls, fullsMost))
-		b.server.fulls++
+		b.server.unavailableUntil = now.Add(s.fullBackoffTime(b.server) << min(b.server.consecutiveFull, maxFullDoublings))
+		b.server.consecutiveFull++
 		for _, item := range b.items {
-			item.task.tries[item.position]--
+			item.task.attempts[item.position]--
 		}
 	} else {
 		b.server.failures++
-		pause := ejectFirst << min(b.server.failures-1, 10)
-		b.server.until = now.Add(min(pause, ejectMost))
+		pause := minEjection << min(b.server.failures-1, 10)
+		b.server.unavailableUntil = now.Add(min(pause, maxEjection))
 	}
 	s.resend(b.items)
 }
 
-// untilRoom is how long a server is left alone that was full: it works on calls
-// that this host does not know of, or gave up, and has room when one ends.
-func (s *Scheduler) untilRoom(state *serverState) time.Duration {
-	return max(time.Duration(float64(s.CallTime())*min(state.factor, slowFactor)), fullPause)
+// fullBackoffTime returns how long a full server gets no calls. It is working on calls that
+// this host does not know of or has abandoned, and accepts more when one of them ends.
+func (s *Scheduler) fullBackoffTime(state *serverState) time.Duration {
+	return max(time.Duration(float64(s.CallTime())*min(state.slowdown, slowFactor)), fullBackoff)
 }
 
-// Finish takes the outcomes of a call, one for each item, and returns the
-// results that nobody wants.
+// Finish records the outcomes of a call, one for each item, and returns the results that are
+// no longer needed.
 func (s *Scheduler) Finish(now time.Time, b *Call, outcomes []Outcome) []Result {
-	if b.abandoned || b.cut {
+	if b.abandoned || b.cancelled {
 		return nil
 	}
 	s.remove(b)
 	state := b.server
-	state.failures, state.fulls = 0, 0
-	state.answered()
+	state.failures, state.consecutiveFull = 0, 0
+	state.recordAnswer()
 	state.used -= b.bytes
-	if worked(outcomes) {
-		state.factor += factorGain * (now.Sub(b.began).Seconds()/s.even(len(b.items)).Seconds() - state.factor)
+	if allMade(outcomes) {
+		state.slowdown += slowdownGain * (now.Sub(b.startedAt).Seconds()/s.nominalTime(len(b.items)).Seconds() - state.slowdown)
 	}
-	s.made(now, countMade(outcomes))
+	s.recordMade(now, countMade(outcomes))
 	var unwanted []Result
-	var again []sent
+	var again []callItem
 	for i, item := range b.items {
 		t := item.task
 		switch o := outcomes[i]; {
 		case o.Failure == FailureRoom:
-			t.tries[item.position]--
-			state.until = now.Add(roomPause)
+			t.attempts[item.position]--
+			state.unavailableUntil = now.Add(capacityBackoff)
 			again = append(again, item)
 		case o.Failure == FailureFailed:
 			again = append(again, item)
@@ -158,14 +158,14 @@
 			t.Finish(o.Failure)
 		default:
 			r := Result{Handle: o.Handle, Server: state.Address, Zone: state.Zone}
-			state.hold(o.Handle, t.ResultBytes, now.Add(s.spec.Hold))
+			state.reserve(o.Handle, t.ResultBytes, now.Add(s.spec.Hold))
 			if t.ended || t.results[item.position].Handle != "" {
 				unwanted = append(unwanted, r)
 				continue
 			}
 			t.results[item.position] = r
-			// A copy that still waits must not be sent: a server may give it
-			// the same handle, and giving up the copy would take the result.
+			// A duplicate that still waits must not be sent: a server may give it the same
+			// handle, and releasing the duplicate would release the result.
 			t.pending = slices.DeleteFunc(t.pending, func(p int) bool { return p == item.position })
 			if t.missing--; t.missing == 0 {
 				t.Finish("")
@@ -181,9 +181,9 @@
 	return unwanted
 }
 
-// worked reports whether a server made all pieces of a call, so that its time
-// tells how fast it is.
-func worked(outcomes []Outcome) bool {
+// allMade reports whether a server made all pieces of a call, so that the call's time is a
+// sample of its speed.
+func allMade(outcomes []Outcome) bool {
 	return !slices.ContainsFunc(outcomes, func(o Outcome) bool { return o.Failure != "" })
 }
 
@@ -201,7 +201,7 @@
 	b.server.running = slices.DeleteFunc(b.server.running, func(other *Call) bool { return other == b })
 }
 
-// Release notes that a server has given up results.
+// Release records that a server has released results.
 func (s *Scheduler) Release(address netip.AddrPort, handles []string) {
 	state := s.servers[address]
 	if state == nil {
--- a/internal/stageplan/queue.go
+++ b/internal/stageplan/queue_waits.go
@@ -8,24 +8,24 @@
 	"time"
 )
 
-// dueSteps are how soon work is due, from now, that a Queue has waits for; the
-// last stands for all that is due later.
+// dueSteps are the upper bounds of the time until work is due for which a Queue has waits. The
+// last one covers all work that is due later.
 var dueSteps = [...]time.Duration{
 	250 * time.Millisecond, 500 * time.Millisecond, 800 * time.Millisecond, 1200 * time.Millisecond,
 	1700 * time.Millisecond, 2300 * time.Millisecond, 3000 * time.Millisecond, math.MaxInt64,
 }
 
-// Queue has how long new work waits that is due within each of dueSteps. Work
-// that is due sooner goes first, so it waits less; the waits never fall.
+// Queue has the expected wait of new work that is due within each of dueSteps. Work that is
+// due sooner goes first, so the waits never decrease.
 type Queue [len(dueSteps)]time.Duration
 
-// Before returns how long new work waits that is due in so long.
+// Before returns how long new work waits that is due within the given time.
 func (q Queue) Before(due time.Duration) time.Duration {
-	return q[stepOf(due)]
+	return q[stepIndex(due)]
 }
 
-// stepOf returns which of dueSteps work is due within.
-func stepOf(due time.Duration) int {
+// stepIndex returns the index of the step of dueSteps that a time until due falls into.
+func stepIndex(due time.Duration) int {
 	for i, step := range dueSteps {
 		if due <= step {
 			return i
--- a/internal/stageplan/scarce_test.go
+++ b/internal/stageplan/scarce_test.go
@@ -13,8 +13,8 @@
 	"github.com/wingvale/wingvale/internal/stageplan"
 )
 
-// scarce has one dear kind of request, and two cheap ones with long chains, at a
-// first pool of few servers with little room.
+// scarce has one valuable kind of request and two cheap ones with long chains. The servers of
+// the first pool are few and have little memory for results.
 func scarce() chainLoad {
 	return chainLoad{
 		pools: []poolLoad{
@@ -24,11 +24,11 @@
 		},
 		kinds: []kind{
 			{
-				name: "digest", perSecond: 11.6, objective: 1100 * ms, limit: 6 * time.Second, worth: 4.7, late: 0.7, read: 90 * ms,
+				name: "digest", perSecond: 11.6, objective: 1100 * ms, limit: 6 * time.Second, value: 4.7, late: 0.7, read: 90 * ms,
 				stages: []chainStage{{pool: "ledger", share: 0.7, pieces: 2.5, bytes: 1.5e6}},
 			},
 			{
-				name: "answer", perSecond: 14.1, objective: 2300 * ms, limit: 6 * time.Second, worth: 1.1, late: 0.17, priority: 1, read: 50 * ms,
+				name: "answer", perSecond: 14.1, objective: 2300 * ms, limit: 6 * time.Second, value: 1.1, late: 0.17, priority: 1, read: 50 * ms,
 				stages: []chainStage{
 					{pool: "ledger", share: 1, pieces: 1, bytes: 8000, effort: 0.3},
 					{pool: "split", after: []int{0}, share: 1, pieces: 6, bytes: 60000},
@@ -36,7 +36,7 @@
 				},
 			},
 			{
-				name: "confirm", perSecond: 13.1, objective: 2500 * ms, limit: 20 * time.Second, worth: 0.42, late: 0.063, priority: 2, read: 15 * ms,
+				name: "confirm", perSecond: 13.1, objective: 2500 * ms, limit: 20 * time.Second, value: 0.42, late: 0.063, priority: 2, read: 15 * ms,
 				stages: []chainStage{
 					{pool: "ledger", share: 0.4, pieces: 1.5, bytes: 1.5e6},
 					{pool: "ledger", share: 1, pieces: 1, bytes: 8000, effort: 0.3},
@@ -55,16 +55,16 @@
 			{pool: "ledger", at: 13 * time.Second, ends: 18 * time.Second, servers: 2},
 			{pool: "ledger", at: 18 * time.Second, ends: 40 * time.Second, servers: 1},
 		},
-		lasts: 34 * time.Second,
+		duration: 34 * time.Second,
 	}
 }
 
-// playAll plays a load with each seed and returns the mean over them.
-func playAll(load chainLoad, seeds int, share func(*chainPlayed) float64) float64 {
+// simulateAll runs a load with each seed and returns the mean over them.
+func simulateAll(load chainLoad, seeds int, share func(*chainSummary) float64) float64 {
 	shares := make([]float64, seeds)
 	var all sync.WaitGroup
 	for seed := range seeds {
-		all.Go(func() { shares[seed] = share(playChain(load, uint64(seed))) })
+		all.Go(func() { shares[seed] = share(simulateChain(load, uint64(seed))) })
 	}
 	all.Wait()
 	sum := 0.0
@@ -74,33 +74,32 @@
 	return sum / float64(seeds)
 }
 
-// One or two of the four servers of the pool that is short are gone through bursts of
-// each kind. Nine tenths of the dear kind's worth is wanted all the same, and of all
-// worth that comes: what the pool can't make is to be the cheap kinds' work, without
-// turning these away for good.
-func TestScarceStagesServeWhatIsWorthMost(t *testing.T) {
+// One or two of the four servers of the scarce pool are down during bursts of each kind. Nine
+// tenths of the valuable kind's value must be earned all the same, and of the total value.
+// What the pool cannot do must be the cheap kinds' work, without refusing these for good.
+func TestScarceStagesServeMostValuableWork(t *testing.T) {
 	const seeds = 6
-	t.Logf("one play: %v", playChain(scarce(), 0))
-	share := playAll(scarce(), seeds, (*chainPlayed).share)
-	dear := playAll(scarce(), seeds, func(p *chainPlayed) float64 { return p.of("digest") })
-	cheap := playAll(scarce(), seeds, func(p *chainPlayed) float64 { return p.of("confirm") })
-	t.Logf("share %.3f, dear kind %.3f, cheapest kind %.3f", share, dear, cheap)
-	assert.Check(t, share >= 0.9, "%.3f of the worth", share)
-	assert.Check(t, dear >= 0.9, "%.3f of the dear kind's", dear)
+	t.Logf("one run: %v", simulateChain(scarce(), 0))
+	share := simulateAll(scarce(), seeds, (*chainSummary).share)
+	valuable := simulateAll(scarce(), seeds, func(p *chainSummary) float64 { return p.shareOf("digest") })
+	cheap := simulateAll(scarce(), seeds, func(p *chainSummary) float64 { return p.shareOf("confirm") })
+	t.Logf("share %.3f, most valuable kind %.3f, cheapest kind %.3f", share, valuable, cheap)
+	assert.Check(t, share >= 0.9, "%.3f of the value", share)
+	assert.Check(t, valuable >= 0.9, "%.3f of the most valuable kind's", valuable)
 	assert.Check(t, cheap >= 0.5, "%.3f of the cheapest kind's", cheap)
 }
 
-// All hosts are lost for 1.4 s. Servers are full of what nobody can give up, and callers
-// that come back late compete with new ones: two seconds after the hosts are back four
-// fifths of what comes are served in time again.
-func TestScarceStagesRecoverFromTheLossOfAllHosts(t *testing.T) {
+// All hosts are lost for 1.4 s. Servers are full of results that nobody can release, and
+// returning callers compete with new ones. Two seconds after the hosts are back, four fifths
+// of the arriving requests must be served in time again.
+func TestScarceStagesRecoverFromLossOfAllHosts(t *testing.T) {
 	const seeds = 6
 	load := scarce()
 	load.bursts = []burst{{at: 26 * time.Second, ends: 30 * time.Second, times: 1.6}}
 	load.outages = nil
 	load.losses = []loss{{at: 34500 * ms, ends: 35900 * ms}}
-	load.lasts = 44 * time.Second
-	after := playAll(load, seeds, func(p *chainPlayed) float64 { return p.windows[19] })
+	load.duration = 44 * time.Second
+	after := simulateAll(load, seeds, func(p *chainSummary) float64 { return p.windows[19] })
 	t.Logf("from 38 to 40 s %.3f", after)
 	assert.Check(t, after >= 0.8, "%.3f", after)
 }
--- a/internal/stageplan/scheduler.go
+++ b/internal/stageplan/scheduler.go
@@ -11,75 +11,76 @@
 )
 
 const (
-	// heavyBytes is the size of results or inputs from which work is done in
+	// largeDataBytes is the size of results or inputs from which work is preferably done in
 	// its zone.
-	heavyBytes = 256 << 10
-	// zonePatience is the longest that heavy work waits for a server of its zone.
-	zonePatience = 500 * time.Millisecond
-	// ejectFirst and ejectMost bound how long a failing server is left alone.
-	ejectFirst = 200 * time.Millisecond
-	ejectMost  = 3 * time.Second
-	// fullPause is the least time that a server is left alone that was full; from
-	// the second time in a row on it is longer, up to fullsMost doublings.
-	fullPause = 40 * time.Millisecond
-	fullsMost = 2
-	// triesMost bounds how often one piece is sent.
-	triesMost = 4
-	// priorityTime is how much later a task may be due to go before one of the
-	// next lower priority.
-	priorityTime = 700 * time.Millisecond
-	// lateMargin is kept between the end of a call and the moment by which it
-	// must have ended, for the ways and the next call's turn.
+	largeDataBytes = 256 << 10
+	// zoneWaitLimit is the longest that work with large data waits for a server of its zone.
+	zoneWaitLimit = 500 * time.Millisecond
+	// minEjection and maxEjection bound how long a failing server gets no calls.
+	minEjection = 200 * time.Millisecond
+	maxEjection = 3 * time.Second
+	// fullBackoff is the least time that a full server gets no calls. From the second refusal
+	// in a row on it doubles, up to maxFullDoublings times.
+	fullBackoff      = 40 * time.Millisecond
+	maxFullDoublings = 2
+	// maxAttempts bounds how often one piece is sent.
+	maxAttempts = 4
+	// priorityStep is how much later a task may be due and still precede a task of the next
+	// lower priority.
+	priorityStep = 700 * time.Millisecond
+	// lateMargin is kept between the end of a call and the time by which it must have ended.
+	// It covers network latency and the wait for the next call.
 	lateMargin = 60 * time.Millisecond
-	// latelyWeight is how many calls the average time of calls comes from.
-	latelyWeight = 8
-	// roomPause is how long a server without room gets no work, unless results
-	// are given up there before.
-	roomPause = 50 * time.Millisecond
-	// overdueFactor times its expected time and overdueSlack is how long a call
-	// may take before its pieces are sent to another server.
+	// averageWeight is the divisor of the moving averages: each new sample counts for one part
+	// in averageWeight.
+	averageWeight = 8
+	// capacityBackoff is how long a server without room for results gets no calls, unless
+	// results are released there before.
+	capacityBackoff = 50 * time.Millisecond
+	// overdueFactor times its expected time plus overdueSlack is how long a call may take
+	// before its pieces are sent to another server.
 	overdueFactor = 2.0
 	overdueSlack  = 120 * time.Millisecond
-	// paceSpan is over how long the pace of a pool is averaged: a few calls.
-	paceSpan = 700 * time.Millisecond
-	// paceLeast is the least share of its nominal pace that a pool is taken to
-	// reach when more work comes than before.
-	paceLeast = 0.5
-	// unwantedFor is how long a call goes on whose pieces nobody waits for. The
-	// results of one that ends before can be given up; later, the platform
-	// counts its server as kept at work for a caller who left: after half a
-	// second, of which the ways and recheck take some.
-	unwantedFor = 300 * time.Millisecond
+	// throughputWindow is the time constant of the average throughput of a pool: a few calls.
+	throughputWindow = 700 * time.Millisecond
+	// minThroughputShare is the least share of its nominal throughput that a pool is assumed
+	// to reach when more work arrives than before.
+	minThroughputShare = 0.5
+	// unwantedGrace is how long a call continues when no caller waits for its pieces. The
+	// results of a call that ends within that time can be released. The platform counts a
+	// server as kept busy for a caller that left after half a second, part of which network
+	// latency and the interval between checks consume.
+	unwantedGrace = 300 * time.Millisecond
 )
 
-// Scheduler decides what the next call of a pool has and where it goes. It is
-// not safe for concurrent use.
+// Scheduler decides which pieces the next call of a pool contains and which server gets it. It
+// is not safe for concurrent use.
 type Scheduler struct {
 	spec Spec
-	// rest returns for how long a server wants nothing from this host.
-	rest    func(instance string) time.Duration
-	servers map[netip.AddrPort]*serverState
+	// restTime returns for how long a server accepts no calls from this host.
+	restTime func(instance string) time.Duration
+	servers  map[netip.AddrPort]*serverState
 	// waiting has the tasks with pending pieces.
 	waiting []*Task
-	// lately is the average time of the last calls, as their pieces have it.
-	lately time.Duration
-	// pace is how many pieces were made a second, over paceSpan, as of pacedAt.
-	pace    float64
-	pacedAt time.Time
-	// crowdedSince is from when on some work has always waited for a server;
-	// zero where none waits.
-	crowdedSince time.Time
-	// flows has what comes that is due within each of dueSteps.
-	flows [len(dueSteps)]flow
+	// recentCallTime is the average time of recent calls, by the number of their pieces.
+	recentCallTime time.Duration
+	// piecesPerSecond is the throughput averaged over throughputWindow, as of rateUpdatedAt.
+	piecesPerSecond float64
+	rateUpdatedAt   time.Time
+	// backlogSince is the time since when tasks have been waiting for a server without
+	// interruption. It is zero when none waits.
+	backlogSince time.Time
+	// arrivalRates has the rate of arriving work that is due within each of dueSteps.
+	arrivalRates [len(dueSteps)]arrivalRate
 }
 
-// New returns the scheduler of a pool without servers; rest returns for how long a
-// server wants nothing from this host.
-func New(spec Spec, rest func(instance string) time.Duration) *Scheduler {
-	return &Scheduler{spec: spec, rest: rest, servers: make(map[netip.AddrPort]*serverState)}
+// New returns the scheduler of a pool without servers. restTime returns for how long a server
+// accepts no calls from this host.
+func New(spec Spec, restTime func(instance string) time.Duration) *Scheduler {
+	return &Scheduler{spec: spec, restTime: restTime, servers: make(map[netip.AddrPort]*serverState)}
 }
 
-// SetServers replaces the servers, and keeps what is known of those that stay.
+// SetServers replaces the servers and keeps the state of those that remain.
 func (s *Scheduler) SetServers(servers []Server) {
 	listed := make(map[netip.AddrPort]bool, len(servers))
 	for _, server := range servers {
@@ -89,11 +90,11 @@
 			old.Server = server
 			continue
 		}
-		s.servers[server.Address] = &serverState{Server: server, factor: 1, held: make(map[string]heldResult)}
+		s.servers[server.Address] = &serverState{Server: server, slowdown: 1, held: make(map[string]heldResult)}
 	}
 	for address, state := range s.servers {
 		if !listed[address] {
-			state.gone = true
+			state.removed = true
 			delete(s.servers, address)
 		}
 	}
@@ -105,30 +106,30 @@
 	s.SetServers(servers)
 }
 
-// Spec returns what the configuration says of the pool.
+// Spec returns the configuration of the pool.
 func (s *Scheduler) Spec() Spec {
 	return s.spec
 }
 
-// Add lets work wait.
+// Add queues work and returns its task.
 func (s *Scheduler) Add(now time.Time, w Work) *Task {
 	t := &Task{
-		Work:    w,
-		arrived: now,
-		results: make([]Result, len(w.Pieces)),
-		tries:   make([]int, len(w.Pieces)),
-		missing: len(w.Pieces),
-		done:    make(chan struct{}),
+		Work:      w,
+		arrivedAt: now,
+		results:   make([]Result, len(w.Pieces)),
+		attempts:  make([]int, len(w.Pieces)),
+		missing:   len(w.Pieces),
+		done:      make(chan struct{}),
 	}
 	for i := range w.Pieces {
 		t.pending = append(t.pending, i)
 	}
 	s.waiting = append(s.waiting, t)
-	s.came(now, t)
+	s.recordArrival(now, t)
 	return t
 }
 
-// Pieces is how many pieces wait.
+// Pieces returns the number of queued pieces.
 func (s *Scheduler) Pieces() int {
 	total := 0
 	for _, t := range s.waiting {
@@ -137,28 +138,29 @@
 	return total
 }
 
-// expected is how long a call with so many pieces takes at a server.
+// expected returns the expected time of a call with the given number of pieces at a server.
 func (s *Scheduler) expected(state *serverState, pieces int) time.Duration {
-	return time.Duration(float64(s.even(pieces)) * state.factor)
+	return time.Duration(float64(s.nominalTime(pieces)) * state.slowdown)
 }
 
-// even is how long a call with so many pieces takes at an undisturbed server.
-func (s *Scheduler) even(pieces int) time.Duration {
+// nominalTime returns the time of a call with the given number of pieces at an undisturbed
+// server.
+func (s *Scheduler) nominalTime(pieces int) time.Duration {
 	return s.spec.CallTime + time.Duration(pieces)*s.spec.PieceTime
 }
 
-// usable returns the servers that may get work, the quickest first. A slow one
-// is left out while there are others.
+// usable returns the servers that may get calls, the fastest first. Servers that leave, rest
+// or are backed off from are left out.
 func (s *Scheduler) usable(now time.Time) []*serverState {
 	var states []*serverState
 	for _, state := range s.servers {
-		state.fade(now)
-		if !state.Leaving && !now.Before(state.until) && s.rest(state.Instance) == 0 {
+		state.decay(now)
+		if !state.Leaving && !now.Before(state.unavailableUntil) && s.restTime(state.Instance) == 0 {
 			states = append(states, state)
 		}
 	}
 	slices.SortFunc(states, func(a, b *serverState) int {
-		if c := cmp.Compare(a.factor, b.factor); c != 0 {
+		if c := cmp.Compare(a.slowdown, b.slowdown); c != 0 {
 			return c
 		}
 		return a.Address.Compare(b.Address)
@@ -166,21 +168,21 @@
 	return states
 }
 
-// Next returns the next call, and reports false where nothing can be sent now.
+// Next returns the next call. It reports false if nothing can be sent now.
 func (s *Scheduler) Next(now time.Time) (*Call, bool) {
-	c := s.choose(now)
+	c := s.nextCall(now)
 	if c == nil {
-		s.noteCrowd(now)
+		s.updateBacklog(now)
 	}
 	return c, c != nil
 }
 
-// Idle reports whether nothing waits to be sent.
+// Idle reports whether no task is queued.
 func (s *Scheduler) Idle() bool {
 	return len(s.waiting) == 0
 }
 
-func (s *Scheduler) choose(now time.Time) *Call {
+func (s *Scheduler) nextCall(now time.Time) *Call {
 	s.expire(now)
 	if len(s.waiting) == 0 {
 		return nil
@@ -192,21 +194,21 @@
 		zones[state.Zone] = true
 		switch {
 		case len(state.running) >= s.spec.Slots:
-		case state.factor > usable[0].factor*slowFactor || state.losesAnswers():
+		case state.slowdown > usable[0].slowdown*slowFactor || state.losesAnswers():
 			slow = append(slow, state)
 		default:
 			free = append(free, state)
 		}
 	}
-	s.refuseClosed()
-	s.refuseResting(now)
+	s.rejectClosed()
+	s.rejectResting(now)
 	if len(usable) == 0 {
 		return nil
 	}
-	s.order(now, usable)
-	s.leaveZones(now, usable)
-	s.giveUp(now, usable)
-	if !s.keepsFree(now, len(free), len(usable)) {
+	s.sortWaiting(now, usable)
+	s.relaxZones(now, usable)
+	s.rejectHopeless(now, usable)
+	if !s.reservesServers(now, len(free), len(usable)) {
 		if b := s.fillFree(now, free, zones); b != nil {
 			return b
 		}
@@ -214,39 +216,40 @@
 	return s.fillSlow(now, slow, len(usable)-len(slow), zones)
 }
 
-// keepsFree reports whether what is late waits although servers are free: half of them
-// are kept for what comes and can be in time, which would wait for a whole call.
-func (s *Scheduler) keepsFree(now time.Time, free, usable int) bool {
-	if len(s.waiting) == 0 || !s.waiting[0].last {
+// reservesServers reports whether late tasks must wait although servers are free. Half of the
+// servers are reserved for arriving tasks that can still be in time, which would otherwise
+// wait for a whole call.
+func (s *Scheduler) reservesServers(now time.Time, free, usable int) bool {
+	if len(s.waiting) == 0 || !s.waiting[0].deferred {
 		return false
 	}
-	return 2*free <= usable && s.comesWithin(now, s.CallTime()) >= 1
+	return 2*free <= usable && s.arrivalsWithin(now, s.CallTime()) >= 1
 }
 
-// fillFree makes up a call for one of the free servers: the one that suits the
-// first task that any of them suits.
+// fillFree builds a call for one of the free servers, the one preferred by the first task that
+// any of them can run.
 func (s *Scheduler) fillFree(now time.Time, free []*serverState, zones map[string]bool) *Call {
 	pieces := s.Pieces()
 	for len(free) > 0 && pieces > 0 {
-		most := min((pieces+len(free)-1)/len(free), s.spec.Size)
+		maxPieces := min((pieces+len(free)-1)/len(free), s.spec.Size)
 		split := pieces > s.spec.Size*len(free)
-		best := s.firstSuited(now, free, zones)
+		best := s.selectServer(now, free, zones)
 		if best < 0 {
 			return nil
 		}
-		if b := s.fill(now, free[best], callOf{most: most, split: split}, zones); b != nil {
+		if b := s.fill(now, free[best], callLimits{maxPieces: maxPieces, split: split}, zones); b != nil {
 			return b
 		}
-		// It has no room for anything that waits.
+		// The server has no room for the results of any queued task.
 		free = slices.Delete(free, best, best+1)
 	}
 	return nil
 }
 
-// firstSuited returns the position of the server for the first task that may
-// run on one of them: in the task's zone where it has one, else in the zone with
-// most free servers, so that all zones keep some. It returns -1 for none.
-func (s *Scheduler) firstSuited(now time.Time, free []*serverState, zones map[string]bool) int {
+// selectServer returns the index of the server for the first task that may run on one of them:
+// a server in the task's zone if it has one, else in the zone with most free servers, so that
+// every zone keeps some free. It returns -1 if there is none.
+func (s *Scheduler) selectServer(now time.Time, free []*serverState, zones map[string]bool) int {
 	inZone := make(map[string]int)
 	for _, state := range free {
 		inZone[state.Zone]++
@@ -254,10 +257,10 @@
 	for _, t := range s.waiting {
 		best := -1
 		for i, state := range free {
-			if !s.fits(now, t, state, zones) {
+			if !s.zoneAllows(now, t, state, zones) {
 				continue
 			}
-			if best < 0 || suits(t, state, free[best], inZone) {
+			if best < 0 || prefersServer(t, state, free[best], inZone) {
 				best = i
 			}
 		}
@@ -268,37 +271,38 @@
 	return -1
 }
 
-// suits reports whether a task is better run at one server than at another.
-func suits(t *Task, one, other *serverState, inZone map[string]int) bool {
-	if t.heavy() && t.Zone != "" && (one.Zone == t.Zone) != (other.Zone == t.Zone) {
+// prefersServer reports whether a task should run on one server rather than on another.
+func prefersServer(t *Task, one, other *serverState, inZone map[string]int) bool {
+	if t.zoneSensitive() && t.Zone != "" && (one.Zone == t.Zone) != (other.Zone == t.Zone) {
 		return one.Zone == t.Zone
 	}
 	return inZone[one.Zone] > inZone[other.Zone]
 }
 
-// callOf is what a call may have.
-type callOf struct {
-	// most bounds its pieces; split says whether tasks may be spread over calls.
-	most  int
-	split bool
-	// fresh leaves out what was sent in vain before, for a while.
-	fresh bool
+// callLimits restricts what a call may contain.
+type callLimits struct {
+	// maxPieces bounds its pieces; split says whether tasks may be spread over several calls.
+	maxPieces int
+	split     bool
+	// skipRetries leaves out pieces that were sent before without an answer, until
+	// retryWaitLimit has passed.
+	skipRetries bool
 }
 
-// fill makes up a call for a server.
-func (s *Scheduler) fill(now time.Time, state *serverState, c callOf, zones map[string]bool) *Call {
-	b := &Call{server: state, target: state.Server, began: now}
+// fill builds a call for a server. It returns nil if no task fits.
+func (s *Scheduler) fill(now time.Time, state *serverState, c callLimits, zones map[string]bool) *Call {
+	b := &Call{server: state, target: state.Server, startedAt: now}
 	room := s.spec.Room - state.used
 	for _, t := range s.waiting {
-		if !s.fits(now, t, state, zones) || c.fresh && t.sentInVain() && now.Sub(t.arrived) < vainPatience {
+		if !s.zoneAllows(now, t, state, zones) || c.skipRetries && t.hasRetries() && now.Sub(t.arrivedAt) < retryWaitLimit {
 			continue
 		}
-		b.take(t, s.takes(t, b, c.most, c.split, room))
-		if len(t.pending) > 0 && len(t.pending) < len(t.Pieces) && t.heavy() {
-			// The rest is best made where this part is.
+		b.add(t, s.pieceCount(t, b, c.maxPieces, c.split, room))
+		if len(t.pending) > 0 && len(t.pending) < len(t.Pieces) && t.zoneSensitive() {
+			// The remaining pieces are best done in the zone of this part.
 			t.Zone = state.Zone
 		}
-		if len(b.items) >= c.most {
+		if len(b.items) >= c.maxPieces {
 			break
 		}
 	}
@@ -307,46 +311,47 @@
 	}
 	s.waiting = slices.DeleteFunc(s.waiting, func(t *Task) bool { return len(t.pending) == 0 })
 	b.expected = s.expected(state, len(b.items))
-	even := s.even(len(b.items))
-	s.lately = s.CallTime() + (even-s.CallTime())/latelyWeight
+	nominalTime := s.nominalTime(len(b.items))
+	s.recentCallTime = s.CallTime() + (nominalTime-s.CallTime())/averageWeight
 	state.used += b.bytes
 	state.running = append(state.running, b)
 	return b
 }
 
-// takes is how many pieces of a task go into a call. A task is split only where
-// it is larger than a call, or where more waits than the free servers take and
-// full calls count: otherwise its pieces end together and in one zone.
-func (s *Scheduler) takes(t *Task, b *Call, most int, split bool, room int64) int {
+// pieceCount returns how many pieces of a task go into a call. A task is split only if it is
+// larger than a call, or if more pieces wait than the free servers take and calls should be
+// full. Otherwise its pieces end together and in one zone.
+func (s *Scheduler) pieceCount(t *Task, b *Call, maxPieces int, split bool, room int64) int {
 	count := min(len(t.pending), s.spec.Size-len(b.items))
 	if s.spec.Room > 0 && t.ResultBytes > 0 {
 		count = min(count, int(max(room-b.bytes, 0)/t.ResultBytes))
 	}
 	whole := min(len(t.pending), s.spec.Size)
 	if count > 0 && split {
-		return min(count, most-len(b.items))
+		return min(count, maxPieces-len(b.items))
 	}
 	if count < whole && (len(b.items) > 0 || int64(whole)*t.ResultBytes <= s.spec.Room) {
 		return 0
 	}
-	if len(b.items) > 0 && len(b.items)+count > most {
+	if len(b.items) > 0 && len(b.items)+count > maxPieces {
 		return 0
 	}
 	return count
 }
 
-// fits reports whether a task may run at a server as far as zones go.
-func (s *Scheduler) fits(now time.Time, t *Task, state *serverState, zones map[string]bool) bool {
+// zoneAllows reports whether a task may run on a server as far as regions and zones are
+// concerned.
+func (s *Scheduler) zoneAllows(now time.Time, t *Task, state *serverState, zones map[string]bool) bool {
 	if !t.Allows(state.Server) {
 		return false
 	}
-	if !t.heavy() || t.Zone == "" || t.Zone == state.Zone || !zones[t.Zone] {
+	if !t.zoneSensitive() || t.Zone == "" || t.Zone == state.Zone || !zones[t.Zone] {
 		return true
 	}
-	return t.leavesZone || now.Sub(t.arrived) > zonePatience
+	return t.anyZone || now.Sub(t.arrivedAt) > zoneWaitLimit
 }
 
-// expire ends the tasks that are of no use any more and forgets results that
+// expire fails the tasks that can no longer finish by their deadline and forgets results that
 // their servers have dropped.
 func (s *Scheduler) expire(now time.Time) {
 	s.waiting = slices.DeleteFunc(s.waiting, func(t *Task) bool {
--- a/internal/stageplan/scheduler_test.go
+++ b/internal/stageplan/scheduler_test.go
@@ -13,7 +13,7 @@
 	"github.com/wingvale/wingvale/internal/stageplan"
 )
 
-func TestOneCallHasPiecesOfManyRequests(t *testing.T) {
+func TestCallBatchesPiecesOfManyRequests(t *testing.T) {
 	s := newScheduler(spec, server(1, "a"))
 	for i := range 4 {
 		s.Add(start, work(fmt.Sprint(i), 2))
@@ -27,7 +27,7 @@
 	assert.DeepEqual(t, requests(next(t, s, start.Add(300*time.Millisecond))), []string{"4"})
 }
 
-func TestIdleServersShareWhatWaits(t *testing.T) {
+func TestIdleServersShareWaitingWork(t *testing.T) {
 	s := newScheduler(spec, server(1, "a"), server(2, "a"))
 	s.Add(start, work("x", 3))
 	s.Add(start, work("y", 3))
@@ -35,10 +35,10 @@
 	assert.Equal(t, len(requests(next(t, s, start))), 3)
 }
 
-// A call whose pieces all failed for room came back in
-// a millisecond. Its server was taken for a very fast one, the next call for
-// overdue, and the server for so slow that it never got work again.
-func TestAFailedCallDoesNotTellASpeed(t *testing.T) {
+// A call whose pieces all failed for lack of room came back within a millisecond. The server
+// then counted as very fast, its next call as overdue, and after that the server as so slow
+// that it never got work again.
+func TestFailedCallIsNotASpeedSample(t *testing.T) {
 	s := newScheduler(spec, server(1, "a"), server(2, "a"))
 	now := start
 	for range 6 {
@@ -64,7 +64,7 @@
 	assert.Assert(t, got[0] != got[1], "both servers get work, got %v", got)
 }
 
-func TestASlowServerIsTriedAgain(t *testing.T) {
+func TestSlowServerIsTriedAgain(t *testing.T) {
 	s := newScheduler(spec, server(1, "a"), server(2, "a"))
 	s.Add(start, work("x", 1))
 	s.Add(start, work("y", 1))
@@ -89,11 +89,11 @@
 		}
 	}
 	assert.Equal(t, used(now), 1, "the slow server waits while the other works")
-	assert.Equal(t, used(now.Add(20*time.Second)), 2, "its slowness is forgotten")
+	assert.Equal(t, used(now.Add(20*time.Second)), 2, "its slowdown has decayed")
 }
 
-// The answers of calls were lost. Each kept its server
-// from getting work for five seconds.
+// Answers of calls were lost. Each lost answer kept its server from getting work for five
+// seconds.
 func TestOverdueCallsAreSentElsewhere(t *testing.T) {
 	s := newScheduler(spec, server(1, "a"), server(2, "a"))
 	task := s.Add(start, work("x", 1))
@@ -123,8 +123,8 @@
 	assert.Assert(t, one.Server() != other.Server(), "both get work again")
 }
 
-// A piece whose answer was lost waited for seconds where every server had lost one.
-func TestWhereAllServersLoseAnswersPiecesAreSentAgain(t *testing.T) {
+// A piece whose answer was lost waited for seconds if every server had lost one.
+func TestPiecesAreResentWhenAllServersLoseAnswers(t *testing.T) {
 	s := newScheduler(spec, server(1, "a"))
 	s.Add(start, work("x", 1))
 	next(t, s, start)
@@ -133,7 +133,7 @@
 	assert.DeepEqual(t, requests(next(t, s, now.Add(100*time.Millisecond))), []string{"x"})
 }
 
-func TestNoCallBeyondTheRoomOfAServer(t *testing.T) {
+func TestCallsStayWithinServerMemory(t *testing.T) {
 	s := newScheduler(spec, server(1, "a"))
 	add := func(name string) {
 		w := work(name, 5)
@@ -159,7 +159,7 @@
 	assert.Equal(t, len(requests(next(t, s, now))), 5)
 }
 
-func TestTasksAreSplitOnlyWhereMoreWaitsThanACallTakes(t *testing.T) {
+func TestTasksAreSplitOnlyWhenMoreWaitsThanOneCallTakes(t *testing.T) {
 	s := newScheduler(spec, server(1, "a"))
 	s.Add(start, work("x", 5))
 	s.Add(start, work("y", 3))
@@ -172,7 +172,7 @@
 	assert.DeepEqual(t, requests(next(t, s, start)), []string{"y", "y"})
 }
 
-func TestHeavyWorkWaitsForItsZoneAWhile(t *testing.T) {
+func TestWorkWithLargeResultsWaitsForItsZone(t *testing.T) {
 	s := newScheduler(spec, server(1, "a"), server(2, "b"))
 	w := work("x", 1)
 	w.ResultBytes, w.Zone = 3e6, "b"
@@ -185,9 +185,9 @@
 	assert.Equal(t, next(t, s, start.Add(550*time.Millisecond)).Server().Zone, "a")
 }
 
-// Light work took the servers of one zone first; heavy
-// work that wanted them then crossed zones.
-func TestWorkGoesToItsZoneAndElseLeavesAllZonesRoom(t *testing.T) {
+// Tasks with little data took the servers of one zone first; those with large data that
+// preferred this zone then crossed zones.
+func TestWorkGoesToItsZoneOrTheOneWithMostFreeServers(t *testing.T) {
 	s := newScheduler(spec, server(1, "a"), server(2, "b"), server(3, "b"))
 	s.Add(start, work("light", 8))
 	assert.Equal(t, next(t, s, start).Server().Zone, "b", "it has more free servers")
@@ -197,8 +197,8 @@
 	assert.Equal(t, next(t, s, start).Server().Zone, "b")
 }
 
-// The parts of a task that fills more than a call stay in one zone.
-func TestTheRestOfASplitTaskStaysInItsZone(t *testing.T) {
+// The parts of a task that is larger than a call stay in one zone.
+func TestRemainderOfSplitTaskStaysInZone(t *testing.T) {
 	s := newScheduler(spec, server(1, "a"), server(2, "b"))
 	w := work("x", 20)
 	w.ResultBytes = 1e6
@@ -221,10 +221,10 @@
 	assert.Assert(t, !ok)
 }
 
-// With links full of other traffic, 6,899 of 15,127 calls found their server full.
-// Calls that had been given up as overdue were still at work there; every piece
-// was sent there again each 40 ms, and its request failed after four times.
-func TestAFullServerIsLeftAloneForACall(t *testing.T) {
+// With links saturated by other traffic, 6,899 of 15,127 calls found their server full. It was
+// still working on calls that had been abandoned as overdue. Every piece was sent there again
+// each 40 ms, and its request failed after four attempts.
+func TestFullServerIsBackedOffForOneCall(t *testing.T) {
 	s := newScheduler(spec, server(1, "a"))
 	task := s.Add(start, work("x", 4))
 	now := start
@@ -241,7 +241,7 @@
 	assert.Assert(t, calls >= 4 && calls <= 10, "%d calls in the time of 9", calls)
 }
 
-func TestUnreachableServersAreLeftAlone(t *testing.T) {
+func TestUnreachableServersAreBackedOff(t *testing.T) {
 	s := newScheduler(spec, server(1, "a"), server(2, "a"))
 	s.Add(start, work("x", 1))
 	b := next(t, s, start)
--- a/internal/stageplan/server.go
+++ b/internal/stageplan/server.go
@@ -10,25 +10,25 @@
 	"time"
 )
 
-// serverState is what the owner knows of a server.
+// serverState is the scheduler's view of a server.
 type serverState struct {
 	Server
 	running []*Call
-	// used is the room that results and running calls take.
+	// used is how many bytes results and running calls occupy.
 	used int64
 	held map[string]heldResult
-	// factor is how long calls take over what was expected.
-	factor   float64
-	fadedAt  time.Time
-	failures int
-	// fulls is how often in a row it was full.
-	fulls int
-	// losing is about the share of calls that bring no answer, and overdues how many
-	// were overdue in a row.
-	losing   float64
-	overdues int
-	until    time.Time
-	gone     bool
+	// slowdown is the ratio of the time that calls take to their nominal time.
+	slowdown  float64
+	decayedAt time.Time
+	failures  int
+	// consecutiveFull counts refusals in a row because the server was full.
+	consecutiveFull int
+	// lossRate is roughly the share of calls without an answer. consecutiveOverdue is how many
+	// calls in a row were overdue.
+	lossRate           float64
+	consecutiveOverdue int
+	unavailableUntil   time.Time
+	removed            bool
 }
 
 type heldResult struct {
@@ -36,23 +36,23 @@
 	expires time.Time
 }
 
-// fade lets a server's slowness be forgotten.
-func (s *serverState) fade(now time.Time) {
-	if !s.fadedAt.IsZero() && len(s.running) == 0 {
-		keep := math.Exp2(-now.Sub(s.fadedAt).Seconds() / factorFade.Seconds())
-		s.factor = 1 + (s.factor-1)*keep
-		s.losing *= keep
+// decay reduces the server's slowdown and loss rate with time while it is idle.
+func (s *serverState) decay(now time.Time) {
+	if !s.decayedAt.IsZero() && len(s.running) == 0 {
+		keep := math.Exp2(-now.Sub(s.decayedAt).Seconds() / slowdownHalfLife.Seconds())
+		s.slowdown = 1 + (s.slowdown-1)*keep
+		s.lossRate *= keep
 	}
-	s.fadedAt = now
+	s.decayedAt = now
 }
 
-// hold notes room that is taken until it is given up or expires.
-func (s *serverState) hold(handle string, bytes int64, expires time.Time) {
+// reserve accounts for a result until it is released or expires.
+func (s *serverState) reserve(handle string, bytes int64, expires time.Time) {
 	s.used += bytes
 	s.held[handle] = heldResult{bytes: bytes, expires: expires}
 }
 
-// ServerState is what is known of a server.
+// ServerState is the scheduler's view of a server, for inspection.
 type ServerState struct {
 	Address  netip.AddrPort `json:"address"`
 	Instance string         `json:"instance"`
@@ -62,12 +62,12 @@
 	Failures int            `json:"failures"`
 }
 
-// Servers returns what is known of the servers, by address.
+// Servers returns the state of all servers, sorted by address.
 func (s *Scheduler) Servers() []ServerState {
 	states := make([]ServerState, 0, len(s.servers))
 	for _, state := range s.servers {
 		states = append(states, ServerState{
-			Address: state.Address, Instance: state.Instance, Running: len(state.running), Used: state.used, Factor: state.factor, Failures: state.failures,
+			Address: state.Address, Instance: state.Instance, Running: len(state.running), Used: state.used, Factor: state.slowdown, Failures: state.failures,
 		})
 	}
 	slices.SortFunc(states, func(a, b ServerState) int { return a.Address.Compare(b.Address) })
--- a/internal/stageplan/task.go
+++ b/internal/stageplan/task.go
@@ -5,39 +5,40 @@
 
 import "time"
 
-// Task is one Work under way.
+// Task is a Work that has been queued.
 type Task struct {
 	Work
-	arrived time.Time
-	results []Result
-	// pending has the positions of pieces that wait to be sent.
+	arrivedAt time.Time
+	results   []Result
+	// pending has the indexes of the pieces that wait to be sent.
 	pending []int
-	// tries counts the sends of each piece.
-	tries []int
-	// missing is how many pieces have no result.
+	// attempts counts the sends of each piece.
+	attempts []int
+	// missing is the number of pieces without a result.
 	missing int
-	// last says that it goes after what can be in time: it is late, or set aside so that
-	// others aren't. leavesZone says that it may be made in any zone, due orders it among
-	// those alike. All are found anew before each call.
-	last, leavesZone bool
-	due              time.Time
+	// deferred says that the task goes after those that can be in time, either because it is
+	// late or because deferring it keeps others in time. anyZone says that it may run in any
+	// zone. rankAt orders the tasks that are equal in this. All three are computed anew before
+	// each call.
+	deferred, anyZone bool
+	rankAt            time.Time
 
 	failure Failure
 	ended   bool
 	done    chan struct{}
 }
 
-// Done is closed when the task has ended.
+// Done returns a channel that is closed when the task has ended.
 func (t *Task) Done() <-chan struct{} {
 	return t.done
 }
 
-// Ended reports whether the task has ended, and with what failure.
+// Ended reports whether the task has ended, and its failure if any.
 func (t *Task) Ended() (Failure, bool) {
 	return t.failure, t.ended
 }
 
-// Results returns the result of each piece; the zero Result is none.
+// Results returns the result of each piece; a piece without a result has the zero Result.
 func (t *Task) Results() []Result {
 	return t.results
 }
@@ -47,7 +48,8 @@
 	return len(t.pending) > 0
 }
 
-// Finish ends a task that has not ended.
+// Finish ends the task with a failure, or with success if f is empty. It has no effect on a
+// task that has ended.
 func (t *Task) Finish(f Failure) {
 	if t.ended {
 		return
@@ -58,18 +60,18 @@
 	close(t.done)
 }
 
-// sentInVain reports whether a piece that waits was sent before.
-func (t *Task) sentInVain() bool {
+// hasRetries reports whether a waiting piece was sent before.
+func (t *Task) hasRetries() bool {
 	for _, position := range t.pending {
-		if t.tries[position] > 0 {
+		if t.attempts[position] > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// sent is one piece of a call.
-type sent struct {
+// callItem is one piece of a call.
+type callItem struct {
 	task     *Task
 	position int
 }
@@ -77,42 +79,43 @@
 // Call is one call to one server.
 type Call struct {
 	server *serverState
-	// target is the server as it was when the call was made up.
-	target   Server
-	items    []sent
-	began    time.Time
-	expected time.Duration
-	bytes    int64
-	// abandoned says that its answer is not waited for any more.
+	// target is the server as it was when the call was built.
+	target    Server
+	items     []callItem
+	startedAt time.Time
+	expected  time.Duration
+	bytes     int64
+	// abandoned says that the answer is no longer awaited.
 	abandoned bool
-	// unwantedAt is when it was first seen that nobody waits for its pieces,
-	// the zero time while somebody does.
-	unwantedAt time.Time
-	// cut says that it was ended for that; its server may be at work on it yet.
-	cut bool
+	// unwantedSince is when no task was first found waiting for its pieces. It is zero while
+	// one does.
+	unwantedSince time.Time
+	// cancelled says that the call was ended because no task waits for its pieces any more.
+	// Its server may still be working on it.
+	cancelled bool
 }
 
-// Server returns the server as it was when the call was made up.
+// Server returns the server as it was when the call was built.
 func (c *Call) Server() Server {
 	return c.target
 }
 
-// Began returns when the call was made up.
+// Began returns when the call was built.
 func (c *Call) Began() time.Time {
-	return c.began
+	return c.startedAt
 }
 
-// Expected is how long the call should take.
+// Expected returns how long the call should take.
 func (c *Call) Expected() time.Duration {
 	return c.expected
 }
 
-// Given reports whether the call was given up.
+// Given reports whether the call was abandoned or cancelled.
 func (c *Call) Given() bool {
-	return c.abandoned || c.cut
+	return c.abandoned || c.cancelled
 }
 
-// Items returns what the call is to make.
+// Items returns the pieces that the call requests.
 func (c *Call) Items() []Item {
 	items := make([]Item, 0, len(c.items))
 	for _, s := range c.items {
@@ -123,13 +126,13 @@
 			Piece:   t.Pieces[s.position],
 			Key:     t.Key,
 			Inputs:  t.Inputs,
-			Left:    t.Deadline.Sub(c.began),
+			Left:    t.Deadline.Sub(c.startedAt),
 		})
 	}
 	return items
 }
 
-// unwanted reports whether nobody waits for any of a call's pieces.
+// unwanted reports whether no task waits for any of the call's pieces.
 func (c *Call) unwanted() bool {
 	for _, item := range c.items {
 		if !item.task.ended {
@@ -139,17 +142,18 @@
 	return true
 }
 
-func (c *Call) take(t *Task, count int) {
+func (c *Call) add(t *Task, count int) {
 	for range count {
 		position := t.pending[0]
-		c.items = append(c.items, sent{task: t, position: position})
+		c.items = append(c.items, callItem{task: t, position: position})
 		c.bytes += t.ResultBytes
-		t.tries[position]++
+		t.attempts[position]++
 		t.pending = t.pending[1:]
 	}
 }
 
-// TakeResults returns the results of a failed task once.
+// TakeResults returns the results of a failed task and clears them, so that each is returned
+// once.
 func (t *Task) TakeResults() []Result {
 	var results []Result
 	for i, r := range t.results {
--- a/internal/stageplan/work.go
+++ b/internal/stageplan/work.go
@@ -9,34 +9,35 @@
 	"time"
 )
 
-// Spec is what the configuration says of a pool.
+// Spec is the configuration of a pool.
 type Spec struct {
 	Service string
 	// Size is the most pieces of one call, at least 1.
 	Size int
-	// Slots is how many calls a server works on at once, at least 1.
+	// Slots is the number of calls that a server runs at once, at least 1.
 	Slots int
-	// CallTime and PieceTime add up to the time of a call, roughly.
+	// CallTime is the fixed time of a call and PieceTime the time that each piece adds,
+	// roughly.
 	CallTime  time.Duration
 	PieceTime time.Duration
 	// Room is how many bytes of results a server can hold.
 	Room int64
-	// Hold is how long a server keeps a result that is not given up.
+	// Hold is how long a server keeps a result that is not released.
 	Hold time.Duration
 }
 
 // Server is one server of a pool.
 type Server struct {
-	// Instance names one run of the server.
+	// Instance identifies one run of the server process.
 	Instance string
 	Address  netip.AddrPort
 	Zone     string
-	// Region is that of the zone.
+	// Region is the region of the zone.
 	Region string
-	// Leaving says that it must get no new call.
+	// Leaving says that the server must get no new call.
 	Leaving bool
-	// Unreachable says that nothing may be sent there, results that are given up
-	// neither; it implies Leaving.
+	// Unreachable says that nothing may be sent to the server, not even releases of results.
+	// It implies Leaving.
 	Unreachable bool
 }
 
@@ -47,50 +48,50 @@
 	Stage   int
 	// Pieces are the numbers of the pieces to make, at least one.
 	Pieces []int
-	// Key names the input of a first stage. Inputs are the results of the
-	// stages before; only one of the two is set.
+	// Key is the input of a first stage. Inputs are the results of the preceding stages. Only
+	// one of the two is set.
 	Key    string
 	Inputs []string
-	// Zone is where the inputs lie or the results will be used; empty is
-	// anywhere.
+	// Zone is where the inputs are held or the results will be used. If it is empty, any zone
+	// will do.
 	Zone string
-	// Homes are the regions whose servers may do it; none is anywhere.
+	// Homes are the regions whose servers may do the work. If it is empty, all may.
 	Homes []string
-	// Workspace and Route tell whose work it is and of what kind.
+	// Workspace and Route identify the customer and the kind of the request.
 	Workspace string
 	Route     string
-	// Latest is when the stage must have ended to keep the request's
-	// objective, Deadline to be of any use.
+	// Latest is when the stage must have ended to meet the request's objective. Deadline is
+	// when it must have ended to be of any use.
 	Latest   time.Time
 	Deadline time.Time
-	// Priority is the route's rank, 0 the most urgent.
+	// Priority is the route's rank; 0 is the most urgent.
 	Priority int
-	// ResultBytes is the expected size of one result, InputBytes that of all
-	// inputs of one piece.
+	// ResultBytes is the expected size of one result, InputBytes that of all inputs of one
+	// piece.
 	ResultBytes int64
 	InputBytes  int64
-	// Beside says that other results of the request lie at servers, or are
-	// about to, while this work waits.
+	// Beside says that while this work waits, servers hold other results of the request, or
+	// are about to.
 	Beside bool
 }
 
-// holdsRoom reports whether results take up room at other servers while the
-// work waits.
+// holdsRoom reports whether results occupy memory at other servers while the work waits.
 func (w *Work) holdsRoom() bool {
-	return w.Beside || w.InputBytes >= heavyBytes
+	return w.Beside || w.InputBytes >= largeDataBytes
 }
 
-// Allows reports whether a server may do the work.
+// Allows reports whether a server is in a region that may do the work.
 func (w *Work) Allows(s Server) bool {
 	return len(w.Homes) == 0 || slices.Contains(w.Homes, s.Region)
 }
 
-// heavy reports whether it matters in which zone the work is done.
-func (w *Work) heavy() bool {
-	return max(w.ResultBytes, w.InputBytes) >= heavyBytes
+// zoneSensitive reports whether the data is large enough that the work should be done in its
+// zone.
+func (w *Work) zoneSensitive() bool {
+	return max(w.ResultBytes, w.InputBytes) >= largeDataBytes
 }
 
-// Result is one piece's result, which lies at the server that made it.
+// Result is the result of one piece. The server that made it holds it.
 type Result struct {
 	Handle string
 	Server netip.AddrPort
@@ -98,19 +99,20 @@
 	Zone string
 }
 
-// Failure says why a piece has no result.
+// Failure is the reason why a piece has no result.
 type Failure string
 
-// The failures there are.
+// Reasons why a piece has no result.
 const (
 	FailureLate   Failure = "late"
 	FailureGone   Failure = "gone"
 	FailureRoom   Failure = "room"
 	FailureFailed Failure = "failed"
 	FailureFull   Failure = "full"
-	// FailureClosed says that none of the servers takes work.
+	// FailureClosed says that no server accepts the work.
 	FailureClosed Failure = "closed"
-	// FailureResting says that all servers had asked the owner for rest, until too late.
+	// FailureResting says that all servers had asked this host to pause its calls until after
+	// the deadline.
 	FailureResting Failure = "resting"
 )
 
@@ -121,11 +123,11 @@
 	Piece   int
 	Key     string
 	Inputs  []string
-	// Left is how long the result is of use.
+	// Left is how long the result remains of use.
 	Left time.Duration
 }
 
-// Outcome is what a server says of one item: a handle or a failure.
+// Outcome is a server's answer for one item: a handle or a failure.
 type Outcome struct {
 	Handle  string
 	Failure Failure
