--- a/internal/placing/copy.go
+++ b/internal/placing/copy.go
@@ -6,47 +6,47 @@
 import "time"
 
 const (
-	// copyPrice is the time that copying a gigabyte between engines is weighed
-	// as, beside the copying.
-	copyPrice = 58 * time.Millisecond
-	// copyLeast is the fewest tokens that are worth a copy.
-	copyLeast = 1000
-	// copySetup is what a copy takes beside the bytes.
-	copySetup = 4 * time.Millisecond
-	// crossFactor is how much longer copies between zones take.
-	crossFactor = 2
-	// readWithin is how long after a prompt was placed its shared parts have
-	// been read: the wait for a turn and the reading of a large one.
-	readWithin = time.Second
+	// copyCost is the cost, as time, of copying a gigabyte between engines, in addition to the
+	// copying itself.
+	copyCost = 58 * time.Millisecond
+	// minCopyTokens is the fewest tokens that are worth a copy.
+	minCopyTokens = 1000
+	// copySetupTime is the fixed time of a copy.
+	copySetupTime = 4 * time.Millisecond
+	// crossZoneCopyFactor is how many times as long copies between zones take.
+	crossZoneCopyFactor = 2
+	// maxReadDelay is how long after a prompt was placed its shared parts are assumed to be
+	// read: the queueing time and the reading of a large one.
+	maxReadDelay = time.Second
 )
 
-// keeper is an engine that keeps the beginning of a prompt.
-type keeper struct {
+// cacheHolder is an engine that has cached the beginning of a prompt.
+type cacheHolder struct {
 	*engine
-	// tokens is how many of the prompt's shared tokens it keeps.
+	// tokens is how many of the prompt's shared tokens it has cached.
 	tokens int
 }
 
-// source returns the engine that keeps most of a prompt's shared parts, the one
-// that used them last among equals; its engine is nil where none does. It may be
-// leaving: it gets no work by a copy, and what it keeps is gone soon.
-func (b *Book) source(now time.Time, p Prompt) keeper {
-	if k := b.keeperOf(now, p, p.Shared, p.SharedTokens); k.engine != nil {
+// source returns the engine that has cached most of a prompt's shared parts, of equal ones the
+// one that used them last. Its engine is nil if there is none. The engine may be leaving: a
+// copy gives it no work, and what it has cached is lost soon.
+func (b *Book) source(now time.Time, p Prompt) cacheHolder {
+	if k := b.holderOf(now, p, p.Shared, p.SharedTokens); k.engine != nil {
 		return k
 	}
-	return b.keeperOf(now, p, p.First, p.FirstTokens)
+	return b.holderOf(now, p, p.First, p.FirstTokens)
 }
 
-func (b *Book) keeperOf(now time.Time, p Prompt, part uint64, tokens int) keeper {
-	engines, ok := b.warm.Get(part)
+func (b *Book) holderOf(now time.Time, p Prompt, part uint64, tokens int) cacheHolder {
+	engines, ok := b.cached.Get(part)
 	if !ok || part == 0 {
-		return keeper{}
+		return cacheHolder{}
 	}
-	best := keeper{tokens: tokens}
+	best := cacheHolder{tokens: tokens}
 	var last time.Time
 	for name, r := range engines {
 		e := b.engines[name]
-		if e == nil || !p.allows(e) || e.health.Ejected(now) || now.Sub(r.first) < readWithin || now.Sub(r.last) >= warmFor {
+		if e == nil || !p.allows(e) || e.health.Ejected(now) || now.Sub(r.first) < maxReadDelay || now.Sub(r.last) >= cacheLifetime {
 			continue
 		}
 		if best.engine == nil || r.last.After(last) || r.last.Equal(last) && name < best.Instance {
@@ -54,51 +54,51 @@
 		}
 	}
 	if best.engine == nil {
-		return keeper{}
+		return cacheHolder{}
 	}
 	return best
 }
 
-// plan is how an engine comes by the shared tokens of a prompt.
-type plan struct {
-	// missing is how many it does not keep, copied how many of them it copies
-	// from source; it reads the rest.
+// readPlan describes how an engine obtains the shared tokens of a prompt.
+type readPlan struct {
+	// missing is how many tokens the engine has not cached, and copied how many of them it
+	// copies from source. It reads the rest.
 	missing int
 	copied  int
 	source  *engine
 }
 
-// planOf returns the plan of an engine that lacks missing tokens.
-func planOf(e *engine, p Prompt, missing int, from keeper) plan {
-	plan := plan{missing: missing}
+// newReadPlan returns the plan of an engine that lacks missing tokens.
+func newReadPlan(e *engine, p Prompt, missing int, from cacheHolder) readPlan {
+	readPlan := readPlan{missing: missing}
 	if from.engine == nil || from.engine == e || e.TokenBytes <= 0 || e.Link <= 0 {
-		return plan
+		return readPlan
 	}
 	tokens := min(from.tokens-(p.SharedTokens-missing), missing)
-	if tokens >= copyLeast {
-		plan.copied, plan.source = tokens, from.engine
+	if tokens >= minCopyTokens {
+		readPlan.copied, readPlan.source = tokens, from.engine
 	}
-	return plan
+	return readPlan
 }
 
-// time is how long it takes an idle engine, the prompt's own part included.
-func (l plan) time(e *engine, p Prompt) time.Duration {
+// duration returns how long the plan takes on an idle engine, including the prompt's own part.
+func (l readPlan) duration(e *engine, p Prompt) time.Duration {
 	read := ReadTime(p.SharedTokens-l.missing+l.copied, l.missing-l.copied+p.OwnTokens)
 	if l.copied == 0 {
 		return read
 	}
 	seconds := l.bytes(e) / e.Link
 	if l.source.Zone != e.Zone {
-		seconds *= crossFactor
+		seconds *= crossZoneCopyFactor
 	}
-	return read + copySetup + time.Duration(seconds*float64(time.Second))
+	return read + copySetupTime + time.Duration(seconds*float64(time.Second))
 }
 
-// price is what reading again and copying are weighed as, beside their time.
-func (l plan) price(e *engine) time.Duration {
-	return time.Duration(l.missing-l.copied)*rereadCost + time.Duration(l.bytes(e)/1e9*float64(copyPrice))
+// extraCost returns the cost of rereading and copying in addition to their time.
+func (l readPlan) extraCost(e *engine) time.Duration {
+	return time.Duration(l.missing-l.copied)*rereadCost + time.Duration(l.bytes(e)/1e9*float64(copyCost))
 }
 
-func (l plan) bytes(e *engine) float64 {
+func (l readPlan) bytes(e *engine) float64 {
 	return float64(l.copied) * float64(e.TokenBytes)
 }
--- /dev/null
+++ b/internal/placing/scheduler.go
@@ -0,0 +1,353 @@
+// Copyright 2026 The Wingvale Authors
+// SPDX-License-Identifier: Apache-2.0
+
+package placing
+
+import (
+	"net/netip"
+	"slices"
+	"time"
+
+	lru "github.com/hashicorp/golang-lru/v2"
+
+	"github.com/wingvale/wingvale/internal/health"
+	"github.com/wingvale/wingvale/internal/owner"
+)
+
+const (
+	// ReadRate is how many prompt tokens an engine reads in a millisecond. It is near the rate
+	// of the engines in use. The measured speed of each engine is applied on top.
+	ReadRate = 60.0
+	// attentionRate is how many millions of pairs of tokens an engine processes by attention
+	// in a millisecond of reading. It matters for prompts of ten thousand tokens and more.
+	attentionRate = 3.0
+	// Overhead is the time that an idle engine adds before the first event.
+	Overhead = 20 * time.Millisecond
+	// rereadCost is the cost, as time, of reading one shared token again, in addition to the
+	// reading itself.
+	rereadCost = 40 * time.Microsecond
+	// crossZoneCost is the cost, as time, of a megabyte of inputs from another zone.
+	crossZoneCost = 30 * time.Millisecond
+	// cacheLifetime is how long a shared part is assumed to stay cached in an engine, whose
+	// cache holds what it reads in about a minute. maxCachedParts bounds the parts that are
+	// tracked.
+	cacheLifetime  = 30 * time.Second
+	maxCachedParts = 8192
+	// latePenalty is the cost, as time, of a first event after its objective.
+	latePenalty = 1200 * time.Millisecond
+	// rankPenalty is the cost of each position further down the prompt's order by rendezvous
+	// hashing, so that a new owner without state finds the parts where its predecessor placed
+	// them. It is small compared with the time to read a long shared part.
+	rankPenalty = 10 * time.Millisecond
+	// newOwnerMissShare is the share of a prompt's shared parts that the prompt's home is
+	// assumed to lack while the owner is new and has no record of them. After newOwnerPeriod
+	// it has seen most of them.
+	newOwnerMissShare = 0.3
+	newOwnerPeriod    = 20 * time.Second
+	// minHomes is the fewest engines that cache a first shared part, and maxHomeShare the
+	// share of the pool that may, so that a kind of prompt with few first parts uses all
+	// engines.
+	minHomes     = 4
+	maxHomeShare = 0.25
+	// maxRanks is how many positions in the rendezvous order count.
+	maxRanks = 4
+)
+
+// Engine is one engine as published.
+type Engine struct {
+	Instance string
+	Address  netip.AddrPort
+	Zone     string
+	// Region is the region of the zone.
+	Region  string
+	Leaving bool
+	// TokenBytes is the memory that a token takes, and Link the bytes a second that an engine
+	// can send or receive. Either is 0 if engines cannot copy from each other.
+	TokenBytes int64
+	Link       float64
+	// ColdUntil is when the engine is warm again. ColdMost is how many prompts of all hosts
+	// may reach it in any second before that; 0 means no bound.
+	ColdUntil time.Time
+	ColdMost  float64
+}
+
+// Place is where a prompt is sent.
+type Place struct {
+	// Instance is empty if there is no engine or, with Wait set, none that may get a prompt
+	// yet.
+	Instance string
+	// Wait is the expected queueing time and Expected the expected time until the first event.
+	Wait     time.Duration
+	Expected time.Duration
+	// Source is the engine to copy shared parts of the prompt from. The zero address means
+	// none.
+	Source netip.AddrPort
+}
+
+// Prompt has the properties of a request that determine its place.
+type Prompt struct {
+	// First and Shared are hashes that identify the first shared part and all shared parts; 0
+	// means none.
+	First  uint64
+	Shared uint64
+	// FirstTokens, SharedTokens and OwnTokens are the sizes of the first shared part, of all
+	// shared parts and of the rest.
+	FirstTokens  int
+	SharedTokens int
+	OwnTokens    int
+	// Zone is the zone that holds InputBytes of inputs.
+	Zone       string
+	InputBytes int64
+	// Left is how much of the objective remains for the first event; 0 means unknown. If it is
+	// negative, the prompt is late on any engine.
+	Left time.Duration
+	// Except are instances that must not be chosen.
+	Except []string
+	// Homes are the regions whose engines may be chosen. If it is empty, all may.
+	Homes []string
+	// Alone says that the deciding host is not the owner and knows of no prompts but its own.
+	Alone bool
+}
+
+// allows reports whether an engine may read the prompt or cache what it copies.
+func (p Prompt) allows(e *engine) bool {
+	return len(p.Homes) == 0 || slices.Contains(p.Homes, e.Region)
+}
+
+// Report is the outcome of one prompt.
+type Report struct {
+	Instance string
+	// First is the time until the first event, 0 for none. Expected is the time that Place had
+	// estimated.
+	First    time.Duration
+	Expected time.Duration
+	Failed   bool
+}
+
+// ReadTime returns how long an idle engine takes to read tokens of a prompt that follow those
+// it has cached.
+func ReadTime(cachedTokens, tokens int) time.Duration {
+	pairs := float64(tokens) * (float64(cachedTokens) + float64(tokens)/2) / 1e6
+	ms := float64(tokens)/ReadRate + pairs/attentionRate
+	return time.Duration(ms * float64(time.Millisecond))
+}
+
+// Book is an owner's record of its engines and of the prompts placed on them. It is not safe
+// for concurrent use.
+type Book struct {
+	engines map[string]*engine
+	// ownerSince is when the owner placed its first prompt.
+	ownerSince time.Time
+	// cached has for each shared part the engines that read it.
+	cached *lru.Cache[uint64, map[string]cacheEntry]
+}
+
+// cacheEntry is when a shared part was first and last placed on an engine.
+type cacheEntry struct {
+	first time.Time
+	last  time.Time
+}
+
+type engine struct {
+	Engine
+	health health.Record
+	// freeAt is when the engine has read all prompts placed on it.
+	freeAt        time.Time
+	recentPrompts recentPrompts
+}
+
+// NewBook returns a Book without engines.
+func NewBook() *Book {
+	// lru.New fails only for a size below 1.
+	cached, _ := lru.New[uint64, map[string]cacheEntry](maxCachedParts)
+	return &Book{engines: make(map[string]*engine), cached: cached}
+}
+
+// SetEngines replaces the engines and keeps the state of those that remain.
+func (b *Book) SetEngines(engines []Engine) {
+	known := b.engines
+	b.engines = make(map[string]*engine, len(engines))
+	for _, e := range engines {
+		k := known[e.Instance]
+		if k == nil {
+			k = &engine{}
+		}
+		k.Engine = e
+		b.engines[e.Instance] = k
+	}
+}
+
+// Report records the outcome of a prompt.
+func (b *Book) Report(now time.Time, r Report) {
+	e := b.engines[r.Instance]
+	if e == nil {
+		return
+	}
+	ratio := 0.0
+	if r.First > 0 && r.Expected > 0 {
+		ratio = r.First.Seconds() / r.Expected.Seconds()
+	}
+	e.health.Ended(now, ratio, r.Failed)
+}
+
+// Place selects the engine with the lowest cost and records the prompt there.
+func (b *Book) Place(now time.Time, p Prompt) Place {
+	if b.ownerSince.IsZero() {
+		b.ownerSince = now
+	}
+	var best *engine
+	var bestCost time.Duration
+	ranks := b.ranks(p)
+	from := b.source(now, p)
+	usable, wait := b.usable(now, p)
+	for _, e := range usable {
+		cost := b.cost(now, e, p, ranks, from)
+		if best == nil || cost < bestCost || cost == bestCost && e.Instance < best.Instance {
+			best, bestCost = e, cost
+		}
+	}
+	if best == nil {
+		return Place{Wait: wait}
+	}
+	readPlan := newReadPlan(best, p, b.missing(now, best, p), from)
+	nominal := readPlan.duration(best, p)
+	best.health.Try(now)
+	if best.ColdMost > 0 {
+		best.recentPrompts.add(now)
+	}
+	wait = max(best.freeAt.Sub(now), 0)
+	best.freeAt = now.Add(wait + time.Duration(float64(nominal)*best.health.Ratio(now)))
+	b.recordCached(now, p.First, best.Instance)
+	b.recordCached(now, p.Shared, best.Instance)
+	place := Place{Instance: best.Instance, Wait: wait, Expected: wait + nominal + Overhead}
+	if readPlan.copied > 0 {
+		place.Source = readPlan.source.Address
+	}
+	return place
+}
+
+// usable returns the engines that may get a prompt now. If there are none, it returns the time
+// until one may get it; 0 means never.
+func (b *Book) usable(now time.Time, p Prompt) ([]*engine, time.Duration) {
+	var all, healthy []*engine
+	var shortestWait time.Duration
+	limiter := b.rateLimiter(now, p.Alone)
+	for _, e := range b.engines {
+		if e.Leaving || !p.allows(e) || slices.Contains(p.Except, e.Instance) {
+			continue
+		}
+		if wait := limiter.wait(e); wait > 0 {
+			if shortestWait == 0 || wait < shortestWait {
+				shortestWait = wait
+			}
+			continue
+		}
+		all = append(all, e)
+		if !e.health.Ejected(now) {
+			healthy = append(healthy, e)
+		}
+	}
+	if len(healthy) == 0 {
+		return all, shortestWait
+	}
+	return healthy, shortestWait
+}
+
+// Home returns the engine of a prompt's shard that is its home by rendezvous hashing. It is
+// empty if the prompt shares nothing or there are no engines.
+func Home(engines []string, p Prompt) string {
+	if p.Shared == 0 {
+		return ""
+	}
+	top := homesOf(engines, p, 1)
+	if len(top) == 0 {
+		return ""
+	}
+	return top[0]
+}
+
+// homesOf returns the first count homes of a prompt among the engines of its shard: those that
+// cache its first part, ordered by all its shared parts.
+func homesOf(names []string, p Prompt, count int) []string {
+	keep := max(minHomes, int(maxHomeShare*float64(len(names))))
+	return owner.TopNames(owner.TopNames(names, p.First, keep), p.Shared, count)
+}
+
+// ranks returns the positions of a prompt's homes by rendezvous hashing.
+func (b *Book) ranks(p Prompt) map[string]int {
+	if p.Shared == 0 {
+		return nil
+	}
+	names := make([]string, 0, len(b.engines))
+	for name := range b.engines {
+		names = append(names, name)
+	}
+	ranks := make(map[string]int, maxRanks)
+	for i, name := range homesOf(names, p, maxRanks) {
+		ranks[name] = i
+	}
+	return ranks
+}
+
+// missing returns how many shared tokens an engine has not cached.
+func (b *Book) missing(now time.Time, e *engine, p Prompt) int {
+	switch {
+	case p.Shared == 0 || b.isCached(now, p.Shared, e.Instance):
+		return 0
+	case b.isCached(now, p.First, e.Instance):
+		return p.SharedTokens - p.FirstTokens
+	default:
+		return p.SharedTokens
+	}
+}
+
+// cost returns the time until the first event at an engine, with the costs of rereading,
+// copying, crossing zones and being late added as time.
+func (b *Book) cost(now time.Time, e *engine, p Prompt, ranks map[string]int, from cacheHolder) time.Duration {
+	missing := b.missing(now, e, p)
+	rank, home := ranks[e.Instance]
+	if home && rank == 0 && now.Sub(b.ownerSince) < newOwnerPeriod {
+		missing = int(newOwnerMissShare * float64(missing))
+	}
+	readPlan := newReadPlan(e, p, missing, from)
+	first := max(e.freeAt.Sub(now), 0) + time.Duration(float64(readPlan.duration(e, p))*e.health.Ratio(now))
+	cost := first + readPlan.extraCost(e)
+	if p.Left > 0 && first+Overhead > p.Left {
+		cost += latePenalty
+	}
+	if p.Zone != "" && e.Zone != p.Zone {
+		cost += time.Duration(float64(p.InputBytes) / 1e6 * float64(crossZoneCost))
+	}
+	if !home {
+		rank = maxRanks
+	}
+	cost += time.Duration(rank) * rankPenalty
+	return time.Duration(e.health.Weighed(now, float64(cost+Overhead)))
+}
+
+func (b *Book) isCached(now time.Time, part uint64, instance string) bool {
+	engines, ok := b.cached.Get(part)
+	return ok && now.Sub(engines[instance].last) < cacheLifetime
+}
+
+func (b *Book) recordCached(now time.Time, part uint64, instance string) {
+	if part == 0 {
+		return
+	}
+	engines, ok := b.cached.Get(part)
+	if !ok {
+		engines = make(map[string]cacheEntry)
+		b.cached.Add(part, engines)
+	}
+	for name, r := range engines {
+		if now.Sub(r.last) > cacheLifetime {
+			delete(engines, name)
+		}
+	}
+	r, ok := engines[instance]
+	if !ok {
+		r.first = now
+	}
+	r.last = now
+	engines[instance] = r
+}
--- a/internal/placing/book_test.go
+++ b/internal/placing/scheduler_test.go
@@ -24,7 +24,7 @@
 	return list
 }
 
-func book(list ...placing.Engine) *placing.Book {
+func newScheduler(list ...placing.Engine) *placing.Book {
 	b := placing.NewBook()
 	b.SetEngines(list)
 	return b
@@ -34,8 +34,8 @@
 	return placing.Prompt{First: key, Shared: key, FirstTokens: 13000, SharedTokens: 13000, OwnTokens: 3000}
 }
 
-func TestAPromptGoesWhereItsSharedPartsAre(t *testing.T) {
-	b := book(engines(18)...)
+func TestPromptGoesToEngineWithItsSharedParts(t *testing.T) {
+	b := newScheduler(engines(18)...)
 	now := start
 	for key := range uint64(30) {
 		first := b.Place(now, prompt(key+1))
@@ -47,52 +47,52 @@
 	}
 }
 
-func TestAHotPromptSpreadsOnceItsHomeIsBehind(t *testing.T) {
-	b := book(engines(18)...)
+func TestHotPromptSpreadsWhenItsHomeHasAQueue(t *testing.T) {
+	b := newScheduler(engines(18)...)
 	used := make(map[string]int)
 	for range 40 {
 		used[b.Place(start, prompt(1)).Instance]++
 	}
-	assert.Assert(t, len(used) >= 2, "40 prompts at once stay at %v", used)
+	assert.Assert(t, len(used) >= 2, "40 concurrent prompts all went to %v", used)
 	now := start.Add(time.Minute)
 	assert.Equal(t, b.Place(now, prompt(2)).Wait, time.Duration(0))
 }
 
-// Where the home of a prompt is far behind, another engine copies what it keeps
-// instead of reading it again.
-func TestAPromptIsCopiedWhereItsHomeIsBehind(t *testing.T) {
+// If the home of a prompt has a long queue, another engine copies the cached parts instead of
+// reading them again.
+func TestSharedPartsAreCopiedWhenHomeHasAQueue(t *testing.T) {
 	list := engines(18)
 	for i := range list {
 		list[i].Address = netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i + 1)}), 80)
 		list[i].TokenBytes, list[i].Link = 163840, 1.4e11
 	}
-	b := book(list...)
+	b := newScheduler(list...)
 	first := b.Place(start, prompt(1))
-	assert.Assert(t, !first.Source.IsValid(), "nobody keeps it yet")
+	assert.Assert(t, !first.Source.IsValid(), "no engine has cached it yet")
 	early := b.Place(start.Add(100*time.Millisecond), placing.Prompt{
 		First: 1, Shared: 1, FirstTokens: 13000, SharedTokens: 13000, OwnTokens: 3000, Except: []string{first.Instance},
 	})
-	assert.Assert(t, !early.Source.IsValid(), "it is being read")
+	assert.Assert(t, !early.Source.IsValid(), "it is still being read")
 	now := start.Add(3 * time.Second)
 	copies := 0
 	for range 12 {
 		place := b.Place(now, prompt(1))
 		if place.Source.IsValid() {
 			copies++
-			assert.Assert(t, place.Expected-place.Wait < 200*time.Millisecond, "a copy is quick, got %v", place.Expected)
+			assert.Assert(t, place.Expected-place.Wait < 200*time.Millisecond, "a copy is fast, got %v", place.Expected)
 		}
 	}
 	assert.Assert(t, copies > 0)
 }
 
-// What a leaving engine keeps is copied while it is still there.
-func TestALeavingEngineIsCopiedFrom(t *testing.T) {
+// What a leaving engine has cached is copied while the engine is still available.
+func TestLeavingEngineIsACopySource(t *testing.T) {
 	list := engines(3)
 	for i := range list {
 		list[i].Address = netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i + 1)}), 80)
 		list[i].TokenBytes, list[i].Link = 163840, 1.4e11
 	}
-	b := book(list...)
+	b := newScheduler(list...)
 	home := b.Place(start, prompt(1)).Instance
 	var address netip.AddrPort
 	for i := range list {
@@ -106,21 +106,21 @@
 	assert.Equal(t, place.Source, address)
 }
 
-func TestANewOwnerFindsTheHomes(t *testing.T) {
-	old, young := book(engines(18)...), book(engines(18)...)
+func TestNewOwnerPlacesPromptsAtSameHomes(t *testing.T) {
+	old, newOwner := newScheduler(engines(18)...), newScheduler(engines(18)...)
 	same := 0
 	for key := range uint64(60) {
 		now := start.Add(time.Duration(key) * time.Second)
-		if old.Place(now, prompt(key+1)).Instance == young.Place(now, prompt(key+1)).Instance {
+		if old.Place(now, prompt(key+1)).Instance == newOwner.Place(now, prompt(key+1)).Instance {
 			same++
 		}
 	}
 	assert.Equal(t, same, 60)
 }
 
-func TestLeavingExceptedAndFailingEnginesArePassedOver(t *testing.T) {
+func TestLeavingExcludedAndFailingEnginesAreNotUsed(t *testing.T) {
 	list := engines(3)
-	b := book(list...)
+	b := newScheduler(list...)
 	home := b.Place(start, prompt(1)).Instance
 	p := prompt(1)
 	p.Except = []string{home}
@@ -140,11 +140,11 @@
 		list[i].Leaving = true
 	}
 	b.SetEngines(list)
-	assert.Equal(t, b.Place(start, prompt(1)).Instance, "", "there is no engine left")
+	assert.Equal(t, b.Place(start, prompt(1)).Instance, "", "no engine is available")
 }
 
-func TestASlowEngineLosesItsPrompts(t *testing.T) {
-	b := book(engines(4)...)
+func TestSlowEngineIsAvoided(t *testing.T) {
+	b := newScheduler(engines(4)...)
 	home := b.Place(start, prompt(1)).Instance
 	now := start.Add(time.Second)
 	for range 10 {
@@ -153,8 +153,8 @@
 	assert.Assert(t, b.Place(now, prompt(1)).Instance != home)
 }
 
-func TestLargeInputsDrawAPromptToTheirZone(t *testing.T) {
-	b := book(engines(9)...)
+func TestPromptWithLargeInputsGoesToTheirZone(t *testing.T) {
+	b := newScheduler(engines(9)...)
 	for key := range uint64(9) {
 		p := placing.Prompt{OwnTokens: 1000, Zone: "b", InputBytes: 9e6}
 		p.First = key
@@ -163,19 +163,20 @@
 	}
 }
 
-func TestReadTimeGrowsWithWhatIsKept(t *testing.T) {
+func TestReadTimeGrowsWithCachedTokens(t *testing.T) {
 	alone := placing.ReadTime(0, 6000)
 	assert.Assert(t, alone > 100*time.Millisecond && alone < 120*time.Millisecond, "%v", alone)
 	assert.Assert(t, placing.ReadTime(30000, 6000) > alone)
 }
 
-// An engine that may be cold gets no more prompts in a second than it bears, whoever
-// places them: the owner, the one after it that knows nothing, and a host on its own.
-func TestEnginesThatMayBeColdArePaced(t *testing.T) {
+// An engine that may be cold must get no more prompts in a second than it can handle,
+// whichever hosts place them: the owner, its successor without state, and a host that cannot
+// reach the owner.
+func TestEnginesThatMayBeColdAreRateLimited(t *testing.T) {
 	const bound = 18.65
 	list := engines(1)
 	list[0].ColdMost = bound
-	old, young, alone := book(list...), book(list...), book(list...)
+	old, newOwner, alone := newScheduler(list...), newScheduler(list...), newScheduler(list...)
 	placed := 0
 	place := func(b *placing.Book, now time.Time, p placing.Prompt) {
 		if b.Place(now, p).Instance != "" {
@@ -185,33 +186,33 @@
 	for ms := range 3000 {
 		place(old, start.Add(time.Duration(ms)*time.Millisecond), prompt(1))
 	}
-	assert.Assert(t, placed >= 3*6 && placed <= 3*9, "%d placed in 3 s", placed)
+	assert.Assert(t, placed >= 3*6 && placed <= 3*9, "%d prompts placed in 3 s", placed)
 	placed = 0
 	now := start.Add(3 * time.Second)
 	for ms := range 1000 {
 		at := now.Add(time.Duration(ms) * time.Millisecond)
 		place(old, at, prompt(1))
-		place(young, at, prompt(1))
+		place(newOwner, at, prompt(1))
 		p := prompt(1)
 		p.Alone = true
 		place(alone, at, p)
 	}
-	assert.Assert(t, float64(placed) < bound, "%d in a second", placed)
+	assert.Assert(t, float64(placed) < bound, "%d prompts placed in a second", placed)
 	wait := old.Place(now.Add(time.Second), prompt(1))
 	assert.Assert(t, wait.Instance == "" && wait.Wait > 0, "%+v", wait)
 }
 
-// A host that does not reach the owner leaves cold engines alone.
-func TestAHostOnItsOwnPassesColdEnginesOver(t *testing.T) {
+// A host that cannot reach the owner must not use cold engines.
+func TestHostWithoutOwnerDoesNotUseColdEngines(t *testing.T) {
 	list := engines(2)
 	for i := range list {
 		list[i].ColdMost = 18
 	}
 	list[0].ColdUntil = start.Add(3 * time.Second)
-	b := book(list...)
+	b := newScheduler(list...)
 	p := prompt(1)
 	p.Alone = true
 	assert.Equal(t, b.Place(start, p).Instance, "e1")
-	assert.Equal(t, b.Place(start, p).Instance, "", "the other had one")
-	assert.Equal(t, book(list[:1]...).Place(start, prompt(1)).Instance, "e0", "the owner uses it")
+	assert.Equal(t, b.Place(start, p).Instance, "", "the other engine already got one")
+	assert.Equal(t, newScheduler(list[:1]...).Place(start, prompt(1)).Instance, "e0", "the owner uses it")
 }
--- a/internal/placing/shard.go
+++ b/internal/placing/shard.go
@@ -9,11 +9,11 @@
 	"github.com/wingvale/wingvale/internal/owner"
 )
 
-// shardSize is the most engines that one host places prompts on. The more, the
-// better load spreads, and the more its owner has to do.
+// shardSize is the most engines that one host places prompts on. Larger shards balance load
+// better but cost their owner more.
 const shardSize = 96
 
-// NewShards returns what divides the engines of a service into shards.
+// NewShards returns an empty partition of the engines of a service into shards.
 func NewShards[T any]() *owner.Divided[string, T] {
 	return owner.NewDivided[string, T](shardSize, xxhash.Sum64String)
 }
@@ -23,9 +23,9 @@
 	return owner.Part(xxhash.Sum64String(instance), shards)
 }
 
-// OfPrompt returns the shard of a prompt, by all its shared parts: those of a kind with
-// few first parts would reach few engines else. One that shares nothing goes by its size,
-// which is as good as any.
+// OfPrompt returns the shard of a prompt. It hashes all shared parts, since a kind of prompt
+// with few first parts would otherwise reach few engines. A prompt that shares nothing is
+// hashed by its size, which is as good as any other key.
 func OfPrompt(p Prompt, shards int) int {
 	hash := p.Shared
 	if hash == 0 {
