--- a/internal/owner/divided.go
+++ b/internal/owner/divided.go
@@ -9,14 +9,13 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Parts is into how many parts so many items are divided that no part has many more
-// than size.
+// Parts returns how many parts to divide items into so that no part has many more than size.
 func Parts(items, size int) int {
 	return max((items+size-1)/size, 1)
 }
 
-// Part returns which of the parts a hash falls into. One part more takes its share of
-// hashes from all others, and leaves the rest where they are.
+// Part returns the part that a hash belongs to, by rendezvous hashing. An additional part
+// takes its share of hashes from all others; all other hashes stay in their part.
 func Part(hash uint64, parts int) int {
 	best, highest := 0, uint64(0)
 	var key [16]byte
@@ -30,34 +29,33 @@
 	return best
 }
 
-// Divided has items by key, divided into parts of about a size. A change of one item
-// touches its part alone, but where Divide changes the number of parts. It is not safe
-// for concurrent use.
+// Divided is a map divided into parts of about a given size. A change of one item affects only
+// its own part, unless Divide changes the number of parts. It is not safe for concurrent use.
 type Divided[K comparable, T any] struct {
 	size int
 	hash func(K) uint64
-	// parts is never empty; each key is in the part of its hash.
+	// parts is never empty. Each key is in the part of its hash.
 	parts []map[K]T
 	count int
 }
 
-// NewDivided returns a Divided without items.
+// NewDivided returns an empty Divided.
 func NewDivided[K comparable, T any](size int, hash func(K) uint64) *Divided[K, T] {
 	return &Divided[K, T]{size: size, hash: hash, parts: []map[K]T{make(map[K]T)}}
 }
 
-// Len is how many items there are.
+// Len returns the number of items.
 func (d *Divided[K, T]) Len() int {
 	return d.count
 }
 
-// Parts is how many parts there are, at least 1.
+// Parts returns the number of parts, at least 1.
 func (d *Divided[K, T]) Parts() int {
 	return len(d.parts)
 }
 
-// Part returns the items of a part, and none of one that there isn't. They must not be
-// changed.
+// Part returns the items of a part, or nil if the part does not exist. The map must not be
+// modified.
 func (d *Divided[K, T]) Part(i int) map[K]T {
 	if i < 0 || i >= len(d.parts) {
 		return nil
@@ -79,7 +77,7 @@
 	part[key] = item
 }
 
-// Remove takes an item out.
+// Remove removes an item.
 func (d *Divided[K, T]) Remove(key K) {
 	part := d.parts[d.Of(key)]
 	if _, known := part[key]; known {
@@ -88,8 +86,8 @@
 	}
 }
 
-// Divide brings the number of parts in line with that of the items, and reports whether
-// it has changed. It is called after each batch of changes.
+// Divide adjusts the number of parts to the number of items and reports whether it changed. It
+// must be called after each batch of changes.
 func (d *Divided[K, T]) Divide() bool {
 	wanted := Parts(d.count, d.size)
 	if wanted == len(d.parts) {
--- a/internal/owner/divided_test.go
+++ b/internal/owner/divided_test.go
@@ -13,7 +13,7 @@
 	"github.com/wingvale/wingvale/internal/owner"
 )
 
-func TestDividedItemsAreFoundWhereverTheirNumberGoes(t *testing.T) {
+func TestDividedFindsItemsAfterGrowthAndShrinking(t *testing.T) {
 	d := owner.NewDivided[string, int](24, xxhash.Sum64String)
 	name := func(i int) string { return fmt.Sprintf("server-%d", i) }
 	for i := range 500 {
@@ -34,9 +34,9 @@
 	assert.Equal(t, len(d.Part(2)), 0)
 }
 
-// With the rest of a division by the number of parts, one server more or less across a
-// boundary gave nearly all prompts another owner and another home.
-func TestOnePartMoreMovesItsShareOnly(t *testing.T) {
+// With a hash modulo the number of parts, one server more or less across a boundary gave
+// nearly all prompts another owner and another home.
+func TestAdditionalPartMovesOnlyItsShare(t *testing.T) {
 	for _, parts := range []int{3, 36, 72} {
 		moved := 0
 		const keys = 2000
@@ -47,7 +47,7 @@
 				continue
 			}
 			moved++
-			assert.Equal(t, after, parts, "only the new part takes any")
+			assert.Equal(t, after, parts, "keys move only to the new part")
 		}
 		assert.Assert(t, moved < 2*keys/(parts+1), "%d of %d keys moved, %d parts", moved, keys, parts)
 	}
--- a/internal/owner/finder.go
+++ b/internal/owner/finder.go
@@ -10,46 +10,46 @@
 	"time"
 )
 
-// avoidFor is how long a host that did not answer is passed over: about the
-// time in which the fleet view notices it too.
-const avoidFor = 2 * time.Second
+// avoidPeriod is how long a host that did not answer is avoided: about the time until the
+// fleet view notices the failure too.
+const avoidPeriod = 2 * time.Second
 
-// Finder finds the owners of keys among the hosts that work. It is safe for
-// concurrent use.
+// Finder finds the owners of keys among the live hosts. It is safe for concurrent use.
 type Finder struct {
-	self netip.AddrPort
-	live func() *Hosts
+	self      netip.AddrPort
+	liveHosts func() *Hosts
 
 	mu sync.Mutex
-	// avoided is until when hosts are passed over; none has passed for longer than
-	// it takes to look for it.
+	// avoided has the time until which each host is avoided. Entries that have passed are
+	// removed at the next look-up.
 	avoided map[netip.AddrPort]time.Time
 }
 
-// NewFinder returns a finder for the host self. live returns the hosts that
-// work, self included unless it leaves; it is asked for each key, and returns the same
-// Hosts while they are the same.
-func NewFinder(self netip.AddrPort, live func() *Hosts) *Finder {
-	return &Finder{self: self, live: live, avoided: make(map[netip.AddrPort]time.Time)}
+// NewFinder returns a Finder for the host self. liveHosts returns the live hosts, including
+// self unless it is leaving. It is called for each key and must return the same Hosts as long
+// as they do not change.
+func NewFinder(self netip.AddrPort, liveHosts func() *Hosts) *Finder {
+	return &Finder{self: self, liveHosts: liveHosts, avoided: make(map[netip.AddrPort]time.Time)}
 }
 
-// Others returns up to count hosts to ask for key, the best first, as far as
-// they go before the host itself.
+// Others returns up to count hosts to ask for key, the best first. It returns only those
+// ranked before the host itself.
 func (f *Finder) Others(key string, count int) []Peer {
-	hosts := f.live()
-	avoided := f.passedOver()
+	hosts := f.liveHosts()
+	avoided := f.currentlyAvoided()
 	ranked := hosts.best(key)
-	if peers, whole := f.before(ranked, avoided, count); whole || len(ranked) < rankedMost && len(peers) > 0 {
+	if peers, complete := f.precedingPeers(ranked, avoided, count); complete || len(ranked) < maxRanked && len(peers) > 0 {
 		return peers
 	}
-	useful := slices.DeleteFunc(slices.Clone(hosts.all), func(p Peer) bool { return avoided[p.Address] })
-	peers, _ := f.before(topPeers(Eligible(useful), key, count), nil, count)
+	available := slices.DeleteFunc(slices.Clone(hosts.all), func(p Peer) bool { return avoided[p.Address] })
+	peers, _ := f.precedingPeers(topPeers(Eligible(available), key, count), nil, count)
 	return peers
 }
 
-// before returns up to count of the ranked hosts that are not avoided, as far as they
-// go before the host itself, and reports whether no more of them can be wanted.
-func (f *Finder) before(ranked []Peer, avoided map[netip.AddrPort]bool, count int) ([]Peer, bool) {
+// precedingPeers returns up to count of the ranked hosts that are not avoided and that precede
+// the host itself. It reports whether the result is complete, so that lower-ranked hosts need
+// not be examined.
+func (f *Finder) precedingPeers(ranked []Peer, avoided map[netip.AddrPort]bool, count int) ([]Peer, bool) {
 	var peers []Peer
 	for _, p := range ranked {
 		if p.Address == f.self || len(peers) == count {
@@ -62,9 +62,9 @@
 	return peers, len(peers) == count
 }
 
-// passedOver returns the hosts that are passed over now, and forgets the others; nil is
-// none.
-func (f *Finder) passedOver() map[netip.AddrPort]bool {
+// currentlyAvoided returns the hosts that are avoided now, and removes the expired ones. It
+// returns nil if there are none.
+func (f *Finder) currentlyAvoided() map[netip.AddrPort]bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.avoided) == 0 {
@@ -82,9 +82,9 @@
 	return avoided
 }
 
-// Avoid passes a host over for a while.
+// Avoid excludes a host from results for avoidPeriod.
 func (f *Finder) Avoid(address netip.AddrPort) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.avoided[address] = time.Now().Add(avoidFor)
+	f.avoided[address] = time.Now().Add(avoidPeriod)
 }
--- a/internal/owner/finder_test.go
+++ b/internal/owner/finder_test.go
@@ -24,7 +24,7 @@
 	return list
 }
 
-func TestAllHostsNameTheSameOwner(t *testing.T) {
+func TestAllHostsSelectSameOwner(t *testing.T) {
 	all := owner.NewHosts(peers(5))
 	for k := range 20 {
 		key := fmt.Sprint(k)
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestAnAvoidedHostIsPassedOverForAWhile(t *testing.T) {
+func TestAvoidedHostIsExcludedTemporarily(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		all := owner.NewHosts(peers(5))
 		self := netip.MustParseAddrPort("10.9.9.9:1")
@@ -54,9 +54,8 @@
 	})
 }
 
-// Hosts with links of 10 Mbit/s owned pools whose calls
-// fill them.
-func TestLargeHostsOwnWhileThereAreAny(t *testing.T) {
+// Hosts with links of 10 Mbit/s owned pools whose calls saturated these links.
+func TestSmallHostsOwnKeysOnlyWithoutLargeHosts(t *testing.T) {
 	all := peers(12)
 	for i := range all {
 		all[i].Capacity = 1
@@ -76,10 +75,10 @@
 	for k := range 50 {
 		owners[f.Others(fmt.Sprint(k), 1)[0].Address] = true
 	}
-	assert.Assert(t, len(owners) > 5, "small hosts own when no large one is left, got %d", len(owners))
+	assert.Assert(t, len(owners) > 5, "small hosts must own keys when no large one is left, got %d owners", len(owners))
 }
 
-func TestNamesMoveOnlyWithTheirOwner(t *testing.T) {
+func TestAdditionalNameMovesOnlyItsKeys(t *testing.T) {
 	names := []string{"a", "b", "c", "d"}
 	for key := range uint64(50) {
 		before := owner.TopNames(names, key, 1)[0]
@@ -89,9 +88,9 @@
 	assert.Equal(t, len(owner.TopNames(nil, 1, 3)), 0)
 }
 
-// With all hosts copied, hashed and sorted for each stage and each prompt, a question
-// took as many times as long as there were hosts.
-func TestAQuestionForAnOwnerDoesNotGrowWithTheFleet(t *testing.T) {
+// When all hosts were copied, hashed and sorted for each stage and each prompt, the time of a
+// look-up grew in proportion to the number of hosts.
+func TestOwnerLookupCostDoesNotGrowWithFleet(t *testing.T) {
 	for _, count := range []int{60, 585, 1170} {
 		all := owner.NewHosts(manyPeers(count))
 		f := owner.NewFinder(netip.MustParseAddrPort("10.9.9.9:1"), func() *owner.Hosts { return all })
@@ -101,8 +100,8 @@
 	}
 }
 
-// What is kept must lead to the owners that looking through all hosts leads to.
-func TestKeptOwnersAreThoseOfAllHosts(t *testing.T) {
+// Cached results must equal those computed from all hosts.
+func TestCachedOwnersEqualThoseOfAllHosts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		list := manyPeers(40)
 		for i := range list {
@@ -124,18 +123,18 @@
 	})
 }
 
-// othersOfAll is what Others is to return, by looking at all hosts.
+// othersOfAll returns the expected result of Others, computed from all hosts.
 func othersOfAll(list []owner.Peer, avoided map[netip.AddrPort]bool, self netip.AddrPort, key string, count int) []owner.Peer {
-	var useful []netip.AddrPort
+	var available []netip.AddrPort
 	byAddress := make(map[netip.AddrPort]owner.Peer)
 	for _, p := range owner.Eligible(list) {
 		if !avoided[p.Address] {
-			useful = append(useful, p.Address)
+			available = append(available, p.Address)
 			byAddress[p.Address] = p
 		}
 	}
 	var others []owner.Peer
-	for _, a := range owner.Top(useful, key, len(useful)) {
+	for _, a := range owner.Top(available, key, len(available)) {
 		if a == self || len(others) == count {
 			break
 		}
@@ -165,7 +164,7 @@
 	}
 }
 
-// keys are as many shards as a large deployment has.
+// keys has as many shards as a large deployment.
 var keys = func() []string {
 	var names []string
 	for k := range 150 {
--- a/internal/owner/hosts.go
+++ b/internal/owner/hosts.go
@@ -10,23 +10,23 @@
 )
 
 const (
-	// rankedMost is how many of the best hosts are kept for a key: those that are
-	// asked, and as many again that may be passed over.
-	rankedMost = 4
-	// keysMost bounds the keys whose best hosts are kept.
-	keysMost = 512
+	// maxRanked is how many of the best hosts are cached for a key: those that are contacted,
+	// and as many again that may be avoided.
+	maxRanked = 4
+	// maxCachedKeys bounds the number of keys whose best hosts are cached.
+	maxCachedKeys = 512
 )
 
-// ownerShare of the largest capacity there is makes a host an owner, so that
+// minOwnerShare is the share of the largest capacity that a host needs to be an owner, so that
 // small hosts do not carry the work of whole pools.
-const ownerShare = 0.5
+const minOwnerShare = 0.5
 
-// Peer is a host that can own something.
+// Peer is a host that can own keys.
 type Peer struct {
-	// Address names the host; Control is where it serves its peers.
+	// Address identifies the host. Control is the address on which it serves its peers.
 	Address netip.AddrPort
 	Control netip.AddrPort
-	// Capacity is how much the host can do beside others; 0 counts as 1.
+	// Capacity is the host's capacity relative to other hosts; 0 counts as 1.
 	Capacity int
 }
 
@@ -34,31 +34,31 @@
 	return max(p.Capacity, 1)
 }
 
-// Hosts are the hosts that work, as of one version of the fleet's view. What a key
-// needs is found once and kept, so that a look-up doesn't grow with the fleet. It is
+// Hosts are the live hosts as of one version of the fleet's view. The best hosts of a key are
+// computed once and cached, so that the cost of a look-up does not grow with the fleet. It is
 // safe for concurrent use.
 type Hosts struct {
-	// all never changes.
+	// all is immutable.
 	all []Peer
-	// eligible are those that may own something.
+	// eligible are the hosts that may own keys.
 	eligible []Peer
-	// ranked has the best of eligible for a key, at most rankedMost.
+	// ranked caches the best eligible hosts of a key, at most maxRanked.
 	ranked *lru.Cache[string, []Peer]
 }
 
-// NewHosts returns the hosts that work. It keeps peers, which must not change.
+// NewHosts returns Hosts for the live peers. It keeps the slice, which must not change.
 func NewHosts(peers []Peer) *Hosts {
-	// The only error is a size below 1.
-	ranked, _ := lru.New[string, []Peer](keysMost)
+	// lru.New fails only for a size below 1.
+	ranked, _ := lru.New[string, []Peer](maxCachedKeys)
 	return &Hosts{all: peers, eligible: Eligible(peers), ranked: ranked}
 }
 
-// Eligible returns the hosts that may own something. It must not be changed.
+// Eligible returns the hosts that may own keys. The slice must not be modified.
 func (h *Hosts) Eligible() []Peer {
 	return h.eligible
 }
 
-// Count is how many hosts work.
+// Count returns the number of live hosts.
 func (h *Hosts) Count() int {
 	return len(h.all)
 }
@@ -68,13 +68,13 @@
 	if best, ok := h.ranked.Get(key); ok {
 		return best
 	}
-	best := topPeers(h.eligible, key, rankedMost)
+	best := topPeers(h.eligible, key, maxRanked)
 	h.ranked.Add(key, best)
 	return best
 }
 
-// Eligible returns the hosts that may own something: those with at least half of the
-// largest capacity there is.
+// Eligible returns the hosts that may own keys: those with at least half of the largest
+// capacity.
 func Eligible(hosts []Peer) []Peer {
 	largest := 0
 	for _, p := range hosts {
@@ -82,14 +82,14 @@
 	}
 	var eligible []Peer
 	for _, p := range hosts {
-		if float64(p.capacity()) >= ownerShare*float64(largest) {
+		if float64(p.capacity()) >= minOwnerShare*float64(largest) {
 			eligible = append(eligible, p)
 		}
 	}
 	return eligible
 }
 
-// topPeers is Top for peers.
+// topPeers is like Top for peers.
 func topPeers(peers []Peer, key string, count int) []Peer {
 	score := func(p Peer) uint64 { return Score(p.Address, key) }
 	return highest(peers, count, score, func(a, b Peer) int { return a.Address.Compare(b.Address) })
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -1,9 +1,8 @@
 // Copyright 2026 The Wingvale Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package owner maps keys to owners by rendezvous hashing, so that nodes with
-// the same view name the same owner, and a node that comes or goes moves only
-// its own keys.
+// Package owner assigns keys to hosts by rendezvous hashing. Hosts with the same view select
+// the same owner, and a host that joins or leaves moves only its own keys.
 package owner
 
 import (
@@ -14,7 +13,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Score returns the weight of node for key. The highest score owns the key.
+// Score returns the rendezvous score of node for key. The node with the highest score owns the
+// key.
 func Score(node netip.AddrPort, key string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -26,14 +26,14 @@
 	return d.Sum64()
 }
 
-// Top returns the count nodes with the highest scores for key, the highest
-// first. It returns all nodes where there are fewer, and leaves nodes as it is.
+// Top returns the count nodes with the highest scores for key, the highest first. It returns
+// all nodes if there are fewer, and does not modify nodes.
 func Top(nodes []netip.AddrPort, key string, count int) []netip.AddrPort {
 	score := func(n netip.AddrPort) uint64 { return Score(n, key) }
 	return highest(nodes, count, score, netip.AddrPort.Compare)
 }
 
-// Of returns the owner of key, or the zero address where there are no nodes.
+// Of returns the owner of key, or the zero address if there are no nodes.
 func Of(nodes []netip.AddrPort, key string) netip.AddrPort {
 	top := Top(nodes, key, 1)
 	if len(top) == 0 {
@@ -42,7 +42,7 @@
 	return top[0]
 }
 
-// TopNames is Top for names and a key that is a hash already.
+// TopNames is like Top for names and a key that is already a hash.
 func TopNames(names []string, key uint64, count int) []string {
 	var d xxhash.Digest
 	score := func(name string) uint64 {
@@ -53,25 +53,25 @@
 	return highest(names, count, score, strings.Compare)
 }
 
-// highest returns the count items with the highest scores, the highest first and equal
-// ones in order. It takes one pass, since few of many are wanted.
+// highest returns the count items with the highest scores, the highest first and equal ones
+// ordered by compare. It takes a single pass, since few of many items are wanted.
 func highest[T any](items []T, count int, score func(T) uint64, compare func(a, b T) int) []T {
 	count = min(max(count, 0), len(items))
 	top := make([]T, 0, count)
 	scores := make([]uint64, 0, count)
 	for _, item := range items {
-		of := score(item)
-		at := len(top)
-		for at > 0 && (of > scores[at-1] || of == scores[at-1] && compare(item, top[at-1]) < 0) {
-			at--
+		itemScore := score(item)
+		position := len(top)
+		for position > 0 && (itemScore > scores[position-1] || itemScore == scores[position-1] && compare(item, top[position-1]) < 0) {
+			position--
 		}
-		if at == count {
+		if position == count {
 			continue
 		}
 		if len(top) == count {
 			top, scores = top[:count-1], scores[:count-1]
 		}
-		top, scores = slices.Insert(top, at, item), slices.Insert(scores, at, of)
+		top, scores = slices.Insert(top, position, item), slices.Insert(scores, position, itemScore)
 	}
 	return top
 }
