--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The Wingvale Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package estimate predicts how long work takes from what was seen of its
-// kind, and says so where nothing was seen.
+// Package estimate predicts how long work takes from the measured times of work of its kind,
+// and indicates when there are none.
 package estimate
 
 import (
@@ -12,18 +12,20 @@
 )
 
 const (
-	gain = 0.1
-	// lowFall and lowRise are the weights of a shorter and a longer time.
-	lowFall = 0.2
-	lowRise = 0.01
-	// fewSamples is below which the plain mean is kept.
-	fewSamples = 10
+	sampleWeight = 0.1
+	// lowFallWeight and lowRiseWeight are the weights with which a shorter and a longer time
+	// change Low.
+	lowFallWeight = 0.2
+	lowRiseWeight = 0.01
+	// minSamples is the number of samples below which the mean is a plain average.
+	minSamples = 10
 	maxKinds   = 4096
-	// halfLife is how fast an estimate that nothing renews fades.
-	halfLife = 2 * time.Second
-	// forgetLife is how fast it is forgotten altogether: a node that has only
-	// ever met a slow server knows nothing of the others.
-	forgetLife = 10 * time.Second
+	// meanHalfLife is the half-life of an estimate without new samples. The mean decays
+	// towards Low.
+	meanHalfLife = 2 * time.Second
+	// forgetHalfLife is the half-life with which the estimate is discarded altogether. A node
+	// that has only ever called one slow server knows nothing of the others.
+	forgetHalfLife = 10 * time.Second
 )
 
 // Estimate is a prediction.
@@ -32,17 +34,17 @@
 	Mean time.Duration
 	// Spread is the mean deviation from Mean.
 	Spread time.Duration
-	// Low is what an undisturbed call takes: near the shortest seen lately.
+	// Low is the time of an undisturbed call, near the shortest recent one.
 	Low time.Duration
-	// Typical is what most calls took when they were last seen. Unlike Mean and
-	// Spread it does not fade.
+	// Typical is the time of most calls when they were last measured. Unlike Mean and Spread
+	// it does not decay.
 	Typical time.Duration
-	// Samples is how many times were seen; 0 means that Mean is a guess.
+	// Samples is the number of measured times. If it is 0, Mean is a guess.
 	Samples int
 }
 
-// Table keeps one estimate for each kind of work. It is safe for concurrent
-// use and holds a bounded number of kinds.
+// Table has one estimate for each kind of work. It is safe for concurrent use and holds a
+// bounded number of kinds.
 type Table struct {
 	mu    sync.Mutex
 	kinds map[string]*series
@@ -51,16 +53,16 @@
 type series struct {
 	mean, spread, low float64
 	samples           int
-	// last is when the last time was seen.
-	last time.Time
+	// lastSampleAt is the time of the last sample.
+	lastSampleAt time.Time
 }
 
-// New returns an empty table.
+// New returns an empty Table.
 func New() *Table {
 	return &Table{kinds: make(map[string]*series)}
 }
 
-// Add takes one time into account.
+// Add adds a measured time of a kind.
 func (t *Table) Add(kind string, d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -75,55 +77,53 @@
 	x := d.Seconds()
 	s.forget(x)
 	s.samples++
-	s.last = time.Now()
+	s.lastSampleAt = time.Now()
 	if s.samples == 1 {
 		s.mean, s.low = x, x
 		return
 	}
-	s.lower(x)
-	g := gain
-	if s.samples < fewSamples {
+	s.updateLow(x)
+	g := sampleWeight
+	if s.samples < minSamples {
 		g = 1 / float64(s.samples)
 	}
 	s.spread += g * (math.Abs(x-s.mean) - s.spread)
 	s.mean += g * (x - s.mean)
 }
 
-// forget moves the series towards x by as much as it no longer counts, so that
-// what was forgotten does not come back with the next sample, neither as a time
-// nor as a deviation from it.
+// forget moves the series towards x by the share that it has decayed, so that decayed values
+// do not return with the next sample, neither as a time nor as a deviation from it.
 func (s *series) forget(x float64) {
 	if s.samples == 0 {
 		return
 	}
-	forgotten := 1 - s.known()
+	forgotten := 1 - s.retained()
 	s.mean += forgotten * (x - s.mean)
 	s.low += forgotten * (x - s.low)
 	s.spread *= 1 - forgotten
 }
 
-// lower moves low towards shorter times quickly and towards longer ones
-// slowly.
-func (s *series) lower(x float64) {
-	g := lowRise
+// updateLow moves low towards shorter times quickly and towards longer ones slowly.
+func (s *series) updateLow(x float64) {
+	g := lowRiseWeight
 	if x < s.low {
-		g = lowFall
+		g = lowFallWeight
 	}
 	s.low += g * (x - s.low)
 }
 
-// known is how much of the series still counts, 1 right after a sample.
-func (s *series) known() float64 {
-	return math.Exp2(-float64(time.Since(s.last)) / float64(forgetLife))
+// retained returns the share of the series that still counts. It is 1 right after a sample.
+func (s *series) retained() float64 {
+	return math.Exp2(-float64(time.Since(s.lastSampleAt)) / float64(forgetHalfLife))
 }
 
-// estimate returns the series as it counts now. What makes calls slow may have
-// passed while none were made, so the mean falls back towards low with age:
-// otherwise work that is refused for a high estimate could never lower it.
+// estimate returns the current estimate of the series. The cause of slow calls may have passed
+// while none were made, so the mean decays towards low with age. Otherwise work that is
+// refused because of a high estimate could never lower it.
 func (s *series) estimate() Estimate {
-	age := float64(time.Since(s.last))
-	fresh := math.Exp2(-age / float64(halfLife))
-	mean := s.known() * (s.low + (s.mean-s.low)*fresh)
+	age := float64(time.Since(s.lastSampleAt))
+	fresh := math.Exp2(-age / float64(meanHalfLife))
+	mean := s.retained() * (s.low + (s.mean-s.low)*fresh)
 	return Estimate{
 		Mean:    seconds(mean),
 		Spread:  seconds(s.spread * fresh),
@@ -133,8 +133,8 @@
 	}
 }
 
-// Of returns the estimate of kind. With no sample its Mean is 0, which never
-// refuses work that nothing is known about.
+// Of returns the estimate of kind. Without samples its Mean is 0, so that unknown work is
+// never refused.
 func (t *Table) Of(kind string) Estimate {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -145,8 +145,8 @@
 	return s.estimate()
 }
 
-// Age returns how long ago a time of kind was last seen; the zero time ago, that
-// is very long, where none was.
+// Age returns the time since the last sample of kind. Without samples it is the time since the
+// zero time, which is very long.
 func (t *Table) Age(kind string) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -154,10 +154,10 @@
 	if s == nil {
 		return time.Since(time.Time{})
 	}
-	return time.Since(s.last)
+	return time.Since(s.lastSampleAt)
 }
 
-// All returns a copy of the table, for the dump.
+// All returns a copy of the estimates by kind, for the dump.
 func (t *Table) All() map[string]Estimate {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/estimate/estimate_test.go
+++ b/internal/estimate/estimate_test.go
@@ -13,10 +13,10 @@
 	"github.com/wingvale/wingvale/internal/estimate"
 )
 
-func TestEstimateFollowsAndFades(t *testing.T) {
+func TestEstimateFollowsSamplesAndDecays(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := estimate.New()
-		assert.Equal(t, table.Of("k"), estimate.Estimate{}, "nothing is known yet")
+		assert.Equal(t, table.Of("k"), estimate.Estimate{}, "there are no samples yet")
 		for range 50 {
 			table.Add("k", 100*time.Millisecond)
 		}
@@ -28,15 +28,15 @@
 		assert.Assert(t, slow.Mean > 900*time.Millisecond, "got %v", slow.Mean)
 		assert.Assert(t, slow.Low < 500*time.Millisecond, "got %v", slow.Low)
 		time.Sleep(6 * time.Second)
-		faded := table.Of("k")
-		assert.Assert(t, faded.Mean < slow.Mean/2, "got %v: what was slow may have passed", faded.Mean)
-		assert.Equal(t, faded.Typical, slow.Typical, "a time-out must not fade")
+		decayed := table.Of("k")
+		assert.Assert(t, decayed.Mean < slow.Mean/2, "got %v: the cause of slow calls may have passed", decayed.Mean)
+		assert.Equal(t, decayed.Typical, slow.Typical, "a time-out must not decay")
 	})
 }
 
-// A node had met one server of a kind, a slow one. Everything of the kind was
-// refused 25 s after that server was sound again.
-func TestANodeThatOnlyMetASlowServerForgetsIt(t *testing.T) {
+// A node had called only one server of a kind, a slow one. It still refused all work of the
+// kind 25 s after that server had recovered.
+func TestEstimateOfOneSlowServerIsDiscarded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := estimate.New()
 		for range 5 {
@@ -44,11 +44,11 @@
 		}
 		time.Sleep(25 * time.Second)
 		assert.Assert(t, table.Of("k").Mean < time.Second, "got %v", table.Of("k").Mean)
-		// Seeds 1346 and 784: the next sample must not bring it back.
+		// The next sample must not bring the decayed value back (seeds 1346 and 784).
 		table.Add("k", 300*time.Millisecond)
 		e := table.Of("k")
 		assert.Assert(t, e.Mean < 1500*time.Millisecond, "got %v", e.Mean)
-		// Seed 7: nor may it come back as a deviation from what is forgotten.
+		// Nor may it return as a deviation from the decayed value (seed 7).
 		assert.Assert(t, e.Spread < 300*time.Millisecond, "got %v", e.Spread)
 		for range 3 {
 			table.Add("k", 300*time.Millisecond)
