--- a/internal/choose/choose.go
+++ b/internal/choose/choose.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The Wingvale Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package choose picks the backend server for one call.
+// Package choose selects the backend server for a call.
 package choose
 
 import (
@@ -10,58 +10,60 @@
 	"time"
 )
 
-// Candidate is what is known of one backend server.
+// Candidate is the caller's view of one backend server.
 type Candidate struct {
-	// InFlight and Limit are the node's own.
+	// InFlight is the number of this node's calls in flight and Limit their maximum.
 	InFlight int
 	Limit    int
-	// Reported is how many calls of others the server last reported.
+	// Reported is the number of other nodes' calls in the server's last report.
 	Reported int
-	// Slots is how many calls the server works on at once; 0 is not known.
+	// Slots is how many calls the server runs at once; 0 means unknown.
 	Slots int
-	// Age is how old the report is.
+	// Age is the age of the report.
 	Age time.Duration
-	// Slowdown is how much slower than its like the server answers; 1 is even.
+	// Slowdown is the ratio of the server's response time to that of similar servers; 1 is
+	// average.
 	Slowdown float64
 	// Near says that the server is in the node's availability zone.
 	Near bool
-	// Warm says that the server likely holds the prompt's prefix.
+	// Warm says that the server has likely cached the prompt's prefix.
 	Warm bool
 	// Usable is false for a server that must not be chosen.
 	Usable bool
 }
 
-// Costs turn preferences into time.
+// Costs expresses preferences as time.
 type Costs struct {
 	// Work is how long the call takes at an idle server.
 	Work time.Duration
-	// Far is what another availability zone adds.
+	// Far is the additional time of another availability zone.
 	Far time.Duration
-	// Cold is what a missing prefix adds.
+	// Cold is the additional time of a prefix that is not cached.
 	Cold time.Duration
 }
 
-// Policy picks one of the candidates and returns its index, or -1 where none
-// is usable and below its limit.
+// Policy selects one of the candidates and returns its index, or -1 if none is usable and
+// below its limit.
 type Policy func(candidates []Candidate, costs Costs, random *rand.Rand) int
 
-// samples is how many candidates LeastTime compares. More of them would herd
-// on the same stale report, fewer would leave good servers idle.
-const samples = 4
+// sampleSize is how many candidates LeastTime compares. With more of them, nodes would herd on
+// the server that looks best in the same stale report; with fewer, good servers would stay
+// idle.
+const sampleSize = 4
 
-// halfLife is how fast trust in a report fades.
-const halfLife = 500 * time.Millisecond
+// reportHalfLife is the half-life of the weight of a report.
+const reportHalfLife = 500 * time.Millisecond
 
-// LeastTime compares a few random candidates, and the warm ones, by the time
-// until they would answer. It allocates nothing.
+// LeastTime compares a few random candidates and all warm ones by their expected response
+// time. It does not allocate.
 func LeastTime(candidates []Candidate, costs Costs, random *rand.Rand) int {
 	best, bestTime := -1, math.Inf(1)
 	consider := func(i int) {
 		c := &candidates[i]
-		if !c.free() {
+		if !c.available() {
 			return
 		}
-		if t := c.expected(costs); t < bestTime {
+		if t := c.expectedSeconds(costs); t < bestTime {
 			best, bestTime = i, t
 		}
 	}
@@ -70,29 +72,29 @@
 			consider(i)
 		}
 	}
-	if len(candidates) <= samples {
-		start := offset(len(candidates), random)
+	if len(candidates) <= sampleSize {
+		start := randomStart(len(candidates), random)
 		for i := range candidates {
 			consider((start + i) % len(candidates))
 		}
 		return best
 	}
-	for range samples {
+	for range sampleSize {
 		consider(random.IntN(len(candidates)))
 	}
 	if best >= 0 {
 		return best
 	}
-	return firstFree(candidates, random)
+	return firstAvailable(candidates, random)
 }
 
-// LeastInFlight takes the candidate with the fewest calls of this node.
+// LeastInFlight selects the candidate with the fewest calls of this node in flight.
 func LeastInFlight(candidates []Candidate, _ Costs, random *rand.Rand) int {
 	best := -1
-	start := offset(len(candidates), random)
+	start := randomStart(len(candidates), random)
 	for n := range candidates {
 		i := (start + n) % len(candidates)
-		if !candidates[i].free() {
+		if !candidates[i].available() {
 			continue
 		}
 		if best < 0 || candidates[i].InFlight < candidates[best].InFlight {
@@ -102,38 +104,38 @@
 	return best
 }
 
-// Random takes any candidate.
+// Random selects a random available candidate.
 func Random(candidates []Candidate, _ Costs, random *rand.Rand) int {
-	return firstFree(candidates, random)
+	return firstAvailable(candidates, random)
 }
 
-func firstFree(candidates []Candidate, random *rand.Rand) int {
-	start := offset(len(candidates), random)
+func firstAvailable(candidates []Candidate, random *rand.Rand) int {
+	start := randomStart(len(candidates), random)
 	for n := range candidates {
 		i := (start + n) % len(candidates)
-		if candidates[i].free() {
+		if candidates[i].available() {
 			return i
 		}
 	}
 	return -1
 }
 
-func offset(n int, random *rand.Rand) int {
+func randomStart(n int, random *rand.Rand) int {
 	if n == 0 {
 		return 0
 	}
 	return random.IntN(n)
 }
 
-func (c *Candidate) free() bool {
+func (c *Candidate) available() bool {
 	return c.Usable && c.InFlight < c.Limit
 }
 
-// expected returns the seconds until the candidate would answer: its work,
-// stretched by the calls ahead of it.
-func (c *Candidate) expected(costs Costs) float64 {
-	trust := math.Exp2(-float64(c.Age) / float64(halfLife))
-	ahead := float64(c.InFlight) + trust*float64(c.Reported)
+// expectedSeconds returns the expected response time in seconds: the work, scaled up by the
+// calls ahead of it, plus the costs of another zone and of a cold prefix.
+func (c *Candidate) expectedSeconds(costs Costs) float64 {
+	reportWeight := math.Exp2(-float64(c.Age) / float64(reportHalfLife))
+	ahead := float64(c.InFlight) + reportWeight*float64(c.Reported)
 	slots := float64(max(c.Slots, 1))
 	if c.Slots == 0 {
 		slots = float64(max(c.Limit, 1))
--- a/internal/choose/choose_test.go
+++ b/internal/choose/choose_test.go
@@ -21,7 +21,7 @@
 	return list
 }
 
-func TestChoosesOnlyUsableBelowLimit(t *testing.T) {
+func TestPoliciesChooseOnlyUsableServersBelowLimit(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	costs := choose.Costs{Work: 100 * time.Millisecond, Far: time.Millisecond, Cold: 20 * time.Millisecond}
 	for name, policy := range map[string]choose.Policy{"least time": choose.LeastTime, "least in flight": choose.LeastInFlight, "random": choose.Random} {
@@ -32,13 +32,13 @@
 			}
 			assert.Equal(t, policy(list, costs, random), n/2, "%s of %d", name, n)
 			list[n/2].InFlight = 4
-			assert.Equal(t, policy(list, costs, random), -1, "%s of %d with none free", name, n)
+			assert.Equal(t, policy(list, costs, random), -1, "%s of %d, none below its limit", name, n)
 		}
 		assert.Equal(t, policy(nil, costs, random), -1, "%s of none", name)
 	}
 }
 
-func TestPreferencesAreMeasuredInTime(t *testing.T) {
+func TestLeastTimeWeighsPreferencesAsTime(t *testing.T) {
 	costs := choose.Costs{Work: 100 * time.Millisecond, Far: 5 * time.Millisecond, Cold: 20 * time.Millisecond}
 	cases := []struct {
 		name   string
@@ -71,13 +71,13 @@
 		list[i].Reported = 3
 	}
 	list[7].Reported = 0
-	taken := 0
+	chosen := 0
 	for seed := range uint64(100) {
 		if choose.LeastTime(list, choose.Costs{Work: time.Second}, rand.New(rand.NewPCG(seed, 1))) == 7 {
-			taken++
+			chosen++
 		}
 	}
-	assert.Assert(t, taken < 20, "got %d of 100 nodes at one server, want fewer than 20", taken)
+	assert.Assert(t, chosen < 20, "got %d of 100 nodes at one server, want fewer than 20", chosen)
 }
 
 func BenchmarkLeastTime250(b *testing.B) {
