--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -1,10 +1,9 @@
 // Copyright 2026 The Wingvale Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package place decides which models each engine holds. It is a pure function
-// of the published models and of what the engines report, so that owners with
-// the same view want the same, and an owner that takes over goes on where the
-// last one stopped.
+// Package place decides which models each engine loads. It is a pure function of the published
+// models and the engines' reports, so that owners with the same view reach the same decisions,
+// and a new owner continues where its predecessor stopped.
 package place
 
 import (
@@ -21,19 +20,19 @@
 type Engine struct {
 	Address netip.AddrPort
 	Pool    string
-	// Leaving engines get no order.
+	// Leaving engines get no orders.
 	Leaving bool
 	protocol.EngineState
 }
 
 const (
-	// busy is the share of its slots above which a model gets more engines,
-	// and idle the one below which it gives one up.
-	busy = 0.7
-	idle = 0.2
-	// atOnce bounds the loads under way, so that the weight store's rate goes
-	// to a few that finish soon and not to many that finish late.
-	atOnce = 2
+	// scaleUpLoad is the ratio of calls to slots above which a model gets more engines, and
+	// scaleDownLoad the one below which it gives one up.
+	scaleUpLoad   = 0.7
+	scaleDownLoad = 0.2
+	// maxConcurrentLoads bounds the loads in progress, so that the weight store's bandwidth
+	// goes to a few loads that finish soon rather than to many that finish late.
+	maxConcurrentLoads = 2
 )
 
 // Step is the next order for one engine.
@@ -43,12 +42,11 @@
 	Model   string
 	Version string
 	Bytes   int64
-	// Adapters go with the model.
+	// Adapters are loaded together with the model.
 	Adapters []string
 }
 
-// Targets returns for each model the engines that should hold it, the first in
-// rank first.
+// Targets returns for each model the engines that should hold it, ordered by rank.
 func Targets(models []pipeline.Model, engines []Engine) map[string][]netip.AddrPort {
 	targets := make(map[string][]netip.AddrPort, len(models))
 	for _, m := range models {
@@ -58,18 +56,18 @@
 				addresses = append(addresses, e.Address)
 			}
 		}
-		targets[m.Name] = owner.Top(addresses, m.Name, replicas(m, engines))
+		targets[m.Name] = owner.Top(addresses, m.Name, wantedReplicas(m, engines))
 	}
 	return targets
 }
 
-// replicas is how many engines the model should have: what is published, and
-// as many more as the load of those that have it asks for. Between busy and
-// idle the number stays, so that it does not swing.
-func replicas(m pipeline.Model, engines []Engine) int {
+// wantedReplicas returns how many engines should hold the model: the published number, or more
+// if the load of the current holders requires it. Between scaleDownLoad and scaleUpLoad the
+// number stays the same, to avoid oscillation.
+func wantedReplicas(m pipeline.Model, engines []Engine) int {
 	holders, load, slots := 0, 0, 0
 	for _, e := range engines {
-		if e.Pool != m.Pool || e.Leaving || !ready(e, m) {
+		if e.Pool != m.Pool || e.Leaving || !isReady(e, m) {
 			continue
 		}
 		holders++
@@ -78,20 +76,20 @@
 	}
 	want := holders
 	switch {
-	case slots > 0 && float64(load) > busy*float64(slots):
+	case slots > 0 && float64(load) > scaleUpLoad*float64(slots):
 		want = holders + 1
-	case slots > 0 && float64(load) < idle*float64(slots):
+	case slots > 0 && float64(load) < scaleDownLoad*float64(slots):
 		want = holders - 1
 	}
 	return max(want, m.Replicas)
 }
 
-func ready(e Engine, m pipeline.Model) bool {
-	l := loaded(e, m.Name)
+func isReady(e Engine, m pipeline.Model) bool {
+	l := findLoaded(e, m.Name)
 	return l != nil && l.Ready
 }
 
-func loaded(e Engine, model string) *protocol.Loaded {
+func findLoaded(e Engine, model string) *protocol.Loaded {
 	for i := range e.Models {
 		if e.Models[i].Model == model {
 			return &e.Models[i]
@@ -100,9 +98,8 @@
 	return nil
 }
 
-// Steps returns the next orders: for each engine at most one, and no more
-// loads than may be under way at once. Whoever computes them, an engine's
-// order depends on nothing but the arguments.
+// Steps returns the next orders: at most one for each engine, and no more loads than may be in
+// progress at once. The result depends only on the arguments, whichever host computes it.
 func Steps(models []pipeline.Model, engines []Engine) []Step {
 	models = slices.SortedFunc(slices.Values(models), func(a, b pipeline.Model) int { return cmp.Compare(a.Name, b.Name) })
 	targets := Targets(models, engines)
@@ -121,11 +118,11 @@
 	for _, m := range models {
 		for _, address := range targets[m.Name] {
 			e := byAddress[address]
-			if ordered[address] || isLoading(e) || !wants(e, m) {
+			if ordered[address] || isLoading(e) || !needsLoad(e, m) {
 				continue
 			}
-			s, ok := loadStep(e, m, models, targets)
-			if !ok || s.Action == protocol.ActionLoad && loading >= atOnce {
+			s, ok := nextStep(e, m, models, targets)
+			if !ok || s.Action == protocol.ActionLoad && loading >= maxConcurrentLoads {
 				continue
 			}
 			if s.Action == protocol.ActionLoad {
@@ -142,10 +139,10 @@
 	return slices.ContainsFunc(e.Models, func(l protocol.Loaded) bool { return !l.Ready })
 }
 
-// wants reports whether the engine lacks the model or an adapter of it, or has
-// another version.
-func wants(e Engine, m pipeline.Model) bool {
-	l := loaded(e, m.Name)
+// needsLoad reports whether the engine lacks the model or one of its adapters, or has another
+// version.
+func needsLoad(e Engine, m pipeline.Model) bool {
+	l := findLoaded(e, m.Name)
 	if l == nil || l.Version != m.Version {
 		return true
 	}
@@ -157,40 +154,40 @@
 	return false
 }
 
-// loadStep loads the model where there is memory, and else unloads one that
-// the engine need not hold.
-func loadStep(e Engine, m pipeline.Model, models []pipeline.Model, targets map[string][]netip.AddrPort) (Step, bool) {
+// nextStep returns an order to load the model if there is enough memory, and otherwise one to
+// unload a model that the engine need not hold.
+func nextStep(e Engine, m pipeline.Model, models []pipeline.Model, targets map[string][]netip.AddrPort) (Step, bool) {
 	load := Step{Engine: e.Address, Action: protocol.ActionLoad, Model: m.Name, Version: m.Version, Bytes: m.Bytes, Adapters: m.Adapters}
 	need := m.Bytes
-	if loaded(e, m.Name) != nil {
+	if findLoaded(e, m.Name) != nil {
 		need = 0
 	}
 	if e.UsedBytes+need <= e.MemoryBytes {
 		return load, true
 	}
 	for _, l := range e.Models {
-		if l.Model != m.Name && !slices.Contains(targets[l.Model], e.Address) && enough(l.Model, models, targets) {
+		if l.Model != m.Name && !slices.Contains(targets[l.Model], e.Address) && mayUnload(l.Model, models, targets) {
 			return Step{Engine: e.Address, Action: protocol.ActionUnload, Model: l.Model, Version: l.Version}, true
 		}
 	}
 	return Step{}, false
 }
 
-// enough reports whether a model may be unloaded somewhere: it is not
-// published any more, or its own engines are known.
-func enough(model string, models []pipeline.Model, targets map[string][]netip.AddrPort) bool {
+// mayUnload reports whether engines that are not targets of a model may unload it: it is no
+// longer published, or its target engines are known.
+func mayUnload(model string, models []pipeline.Model, targets map[string][]netip.AddrPort) bool {
 	published := slices.ContainsFunc(models, func(m pipeline.Model) bool { return m.Name == model })
 	return !published || len(targets[model]) > 0
 }
 
-const counterBits = 20
+const fenceCounterBits = 20
 
-// Fence returns the fence for an order that is based on a configuration
-// revision, given the engine's highest. It reports false where the engine has
-// obeyed an order of a higher revision: the one who asks is out of date.
+// Fence returns the fencing token for an order based on a configuration revision, given the
+// engine's highest token. It reports false if the engine has executed an order of a higher
+// revision, since the caller's configuration is then out of date.
 func Fence(highest, revision uint64) (uint64, bool) {
-	base := revision << counterBits
-	if highest>>counterBits > revision {
+	base := revision << fenceCounterBits
+	if highest>>fenceCounterBits > revision {
 		return 0, false
 	}
 	return max(highest, base) + 1, true
--- a/internal/place/place_test.go
+++ b/internal/place/place_test.go
@@ -31,7 +31,7 @@
 	return pipeline.Model{Format: 1, Name: name, Version: "v1", Pool: "p", Bytes: bytes, Replicas: replicas}
 }
 
-func TestLoadsAreSpaced(t *testing.T) {
+func TestConcurrentLoadsAreLimited(t *testing.T) {
 	steps := place.Steps([]pipeline.Model{model("m", 50, 8)}, engines(10, nil))
 	assert.Equal(t, len(steps), 2, "got %v", steps)
 	loading := engines(10, func(i int, e *place.Engine) {
@@ -39,10 +39,10 @@
 			e.Models = []protocol.Loaded{{Model: "m", Version: "v1"}}
 		}
 	})
-	assert.Equal(t, len(place.Steps([]pipeline.Model{model("m", 50, 8)}, loading)), 0, "two loads are under way")
+	assert.Equal(t, len(place.Steps([]pipeline.Model{model("m", 50, 8)}, loading)), 0, "two loads are in progress")
 }
 
-func TestOrderDoesNotDependOnTheListing(t *testing.T) {
+func TestStepsDoNotDependOnInputOrder(t *testing.T) {
 	models := []pipeline.Model{model("a", 30, 3), model("b", 30, 2)}
 	list := engines(10, nil)
 	want := place.Steps(models, list)
@@ -53,7 +53,7 @@
 	assert.DeepEqual(t, fmt.Sprint(place.Steps([]pipeline.Model{models[1], models[0]}, reversed)), fmt.Sprint(want))
 }
 
-func TestDemandMovesReplicasWithoutSwinging(t *testing.T) {
+func TestReplicasFollowLoadWithHysteresis(t *testing.T) {
 	holders := func(load int) []place.Engine {
 		return engines(10, func(i int, e *place.Engine) {
 			if i < 4 {
@@ -64,11 +64,11 @@
 	}
 	for load, want := range map[int]int{4: 5, 2: 4, 1: 4, 0: 3} {
 		targets := place.Targets([]pipeline.Model{model("m", 10, 2)}, holders(load))
-		assert.Equal(t, len(targets["m"]), want, "at %d of 4 slots", load)
+		assert.Equal(t, len(targets["m"]), want, "with %d of 4 slots used", load)
 	}
 }
 
-func TestMakesRoomByWhatIsNotWanted(t *testing.T) {
+func TestUnneededModelIsUnloadedToFreeMemory(t *testing.T) {
 	list := engines(1, func(_ int, e *place.Engine) {
 		e.Models = []protocol.Loaded{{Model: "old", Version: "v1", Ready: true}}
 		e.UsedBytes = 80
@@ -79,7 +79,7 @@
 	assert.Equal(t, steps[0].Model, "old")
 }
 
-func TestFence(t *testing.T) {
+func TestFenceRejectsOlderRevisions(t *testing.T) {
 	first, ok := place.Fence(0, 7)
 	assert.Assert(t, ok)
 	second, ok := place.Fence(first, 7)
@@ -87,5 +87,5 @@
 	newer, ok := place.Fence(second, 8)
 	assert.Assert(t, ok && newer > second)
 	_, ok = place.Fence(newer, 7)
-	assert.Assert(t, !ok, "an owner with an older configuration must not order")
+	assert.Assert(t, !ok, "an owner with an older configuration must not issue orders")
 }
