--- a/internal/admit/admit.go
+++ b/internal/admit/admit.go
@@ -1,57 +1,59 @@
 // Copyright 2026 The Wingvale Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package admit decides which requests are refused when they arrive since the pools of
-// their stages are too full. It reads no clock and knows no network.
+// Package admit decides which requests to refuse on arrival because the pools of their stages
+// are overloaded. It uses neither a clock nor the network.
 //
-// The load pattern: for seconds more requests come than the pools of their stages make.
-// What is made for one that is late at a later stage is lost to another.
+// The load pattern: for seconds more requests arrive than the pools of their stages can serve.
+// Work of earlier stages for a request that is late at a later stage is wasted, and the
+// capacity is lost to other requests.
 package admit
 
 import "time"
 
 const (
-	// shareFrom and shareFull are waits over the time that a request can wait and be in
-	// time: from the first on some requests are refused, and beyond the second most. They
-	// leave a margin since pools are heard of late and each host decides alone.
-	shareFrom = 0.5
-	shareFull = 0.9
-	// shareMost is the largest share that is refused; the rest tells how the pools do.
-	shareMost = 0.85
-	// slackLeast is the least share of the objective that counts as time to wait: what
-	// idle pools and engines take is known roughly only.
-	slackLeast = 0.1
-	// deepLeast is from how many stages one after the other on a request is judged here.
-	// Of work for one pool nothing is made in vain, and the pool's owner knows what goes
-	// before it.
-	deepLeast = 2
+	// refusalStart and refusalFull are ratios of the expected wait to the time that a request
+	// can wait and still be in time. Above the first some requests are refused, above the
+	// second most. They leave a margin since reports of pools arrive late and each host
+	// decides independently.
+	refusalStart = 0.5
+	refusalFull  = 0.9
+	// maxRefusalShare is the largest share that is refused. The remaining requests show the
+	// state of the pools.
+	maxRefusalShare = 0.85
+	// minSlackShare is the least share of the objective that counts as slack, since the time
+	// of idle pools and engines is only roughly known.
+	minSlackShare = 0.1
+	// minDepth is the number of consecutive stages from which a request may be refused on
+	// arrival. Work for a single pool wastes no earlier stages, and the pool's owner knows
+	// which work precedes it.
+	minDepth = 2
 )
 
-// Request is what is known of a request that arrives.
+// Request describes an arriving request.
 type Request struct {
-	// Left is how long it is until its objective, Objective how long that was.
+	// Left is the time until its objective, and Objective the total time of the objective.
 	Left, Objective time.Duration
-	// Idle is how long its stages and its prompt take where nothing waits, Delay how
-	// much longer engines take lately.
+	// Idle is how long its stages and its prompt take without queueing, and Delay how much
+	// longer engines currently take.
 	Idle, Delay time.Duration
-	// Deep is how many of its stages follow each other.
+	// Deep is how many of its stages run one after the other.
 	Deep int
 }
 
-// Judged reports whether the request may be refused on arrival. What would be late at
-// idle pools too is left to their owners, who know whether they reach it.
+// Judged reports whether the request may be refused on arrival. A request that would be late
+// even with idle pools is left to their owners, who know whether they can serve it.
 func (r Request) Judged() bool {
-	return r.Deep >= deepLeast && r.Idle <= r.Left
+	return r.Deep >= minDepth && r.Idle <= r.Left
 }
 
-// Slack is how long its stages can wait in all for the request to be in time.
+// Slack returns how long its stages can wait in total for the request to be in time.
 func (r Request) Slack() time.Duration {
-	return max(r.Left-r.Idle-r.Delay, time.Duration(slackLeast*float64(r.Objective)))
+	return max(r.Left-r.Idle-r.Delay, time.Duration(minSlackShare*float64(r.Objective)))
 }
 
-// Share is the share of the requests to refuse that would wait so long of the slack that
-// they have.
+// Share returns the share of requests to refuse, for the given expected wait and slack.
 func Share(waits, slack time.Duration) float64 {
-	over := waits.Seconds()/slack.Seconds() - shareFrom
-	return min(max(over/(shareFull-shareFrom), 0), shareMost)
+	over := waits.Seconds()/slack.Seconds() - refusalStart
+	return min(max(over/(refusalFull-refusalStart), 0), maxRefusalShare)
 }
--- a/internal/admit/admit_test.go
+++ b/internal/admit/admit_test.go
@@ -12,26 +12,26 @@
 	"github.com/wingvale/wingvale/internal/admit"
 )
 
-func TestMoreIsRefusedTheLongerPoolsWait(t *testing.T) {
+func TestRefusalShareGrowsWithWait(t *testing.T) {
 	for _, c := range []struct {
 		waits time.Duration
 		want  float64
 	}{{0, 0}, {500 * time.Millisecond, 0}, {700 * time.Millisecond, 0.5}, {time.Second, 0.85}, {time.Minute, 0.85}} {
 		got := admit.Share(c.waits, time.Second)
-		assert.Assert(t, got > c.want-1e-9 && got < c.want+1e-9, "%v of a second: got %v, want %v", c.waits, got, c.want)
+		assert.Assert(t, got > c.want-1e-9 && got < c.want+1e-9, "wait of %v with a slack of 1 s: got %v, want %v", c.waits, got, c.want)
 	}
 }
 
-func TestWhatNeedsOnePoolIsLeftToItsOwner(t *testing.T) {
+func TestOnlyRequestsOfSeveralStagesMayBeRefused(t *testing.T) {
 	r := admit.Request{Left: time.Second, Objective: time.Second, Idle: 400 * time.Millisecond, Deep: 1}
 	assert.Assert(t, !r.Judged())
 	r.Deep = 2
 	assert.Assert(t, r.Judged())
 	r.Idle = 2 * time.Second
-	assert.Assert(t, !r.Judged(), "it is late at idle pools too")
+	assert.Assert(t, !r.Judged(), "it would be late even with idle pools")
 }
 
-func TestSlackIsNeverNothing(t *testing.T) {
+func TestSlackHasAMinimum(t *testing.T) {
 	r := admit.Request{Left: time.Second, Objective: time.Second, Idle: 400 * time.Millisecond, Delay: 100 * time.Millisecond}
 	assert.Equal(t, r.Slack(), 500*time.Millisecond)
 	r.Delay = time.Minute
