--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -20,11 +20,11 @@
 	return s
 }
 
-func TestOneSample(t *testing.T) {
+func TestLimitFollowsSample(t *testing.T) {
 	cases := []struct {
 		name   string
 		change func(s *limit.Sample)
-		// want is whether the limit rises, falls or stays.
+		// want is 1 if the limit must rise, -1 if it must fall, and 0 if it must stay.
 		want int
 	}{
 		{"a busy node grows", func(*limit.Sample) {}, 1},
@@ -51,7 +51,7 @@
 	}
 }
 
-func TestOneQueueCutsOnce(t *testing.T) {
+func TestLimitDecreasesOncePerCallTime(t *testing.T) {
 	l := limit.New(limit.Options{Initial: 10})
 	for range 20 {
 		l.Add(sample(func(s *limit.Sample) { s.Refused = true }))
@@ -61,14 +61,14 @@
 	assert.Assert(t, l.Value() < 8.5)
 }
 
-func TestIdleServersAreTakenUpFaster(t *testing.T) {
+func TestLimitGrowsFasterForIdleServer(t *testing.T) {
 	busy, idle := limit.New(limit.Options{}), limit.New(limit.Options{})
 	busy.Add(sample(func(*limit.Sample) {}))
 	idle.Add(sample(func(s *limit.Sample) { s.Running = 0 }))
 	assert.Assert(t, idle.Value() > busy.Value()+0.5, "got %.2f and %.2f", idle.Value(), busy.Value())
 }
 
-func TestShareOfFewSlots(t *testing.T) {
+func TestResizeStartsAtShareOfSlots(t *testing.T) {
 	l := limit.New(limit.Options{})
 	l.Resize(4, 9)
 	assert.Assert(t, l.Value() > 0.6 && l.Value() < 0.7, "got %.2f, want 1.5 times 4/9", l.Value())
