--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The Wingvale Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package queue orders waiting work: a fair share for each workspace by
-// weight, and the least slack first among the workspaces that are not ahead of
-// their share. Background work comes out only when nothing interactive waits.
+// Package queue implements weighted fair queueing between workspaces. Among the workspaces
+// that are not ahead of their share, the work with the least slack goes first. Background work
+// is served only when no interactive work waits.
 package queue
 
 import (
@@ -11,51 +11,52 @@
 	"time"
 )
 
-// Item says how a value is to be ordered.
+// Item has the scheduling parameters of a value.
 type Item struct {
-	// Workspace is whose share the value draws on.
+	// Workspace is the workspace whose share the value uses.
 	Workspace string
 	// Weight is the workspace's weight, at least 1.
 	Weight int
-	// Latest is when the value must start to be of use.
+	// Latest is the latest useful start of the work.
 	Latest time.Time
-	// Cost is the expected work.
+	// Cost is the expected duration of the work.
 	Cost time.Duration
-	// Background marks work that yields.
+	// Background marks work that yields to interactive work.
 	Background bool
 }
 
-// Policy decides what a Queue gives out next. It lets a baseline and ours run
-// behind one signature.
+// Policy selects the order in which a Queue returns values. It allows running a baseline with
+// the same interface.
 type Policy int
 
 const (
-	// FairSlack is the policy that the package comment describes.
+	// FairSlack is the policy described in the package comment.
 	FairSlack Policy = iota
-	// Arrival gives out what came first and knows no shares.
+	// Arrival serves values in order of arrival, without shares.
 	Arrival
 )
 
-// Queue holds values of type T. It is not safe for concurrent use.
+// Queue is a queue of values of type T. It is not safe for concurrent use.
 type Queue[T any] struct {
 	policy Policy
 	window time.Duration
-	// queues has no empty backlog.
+	// queues has the backlog of each workspace; none of them is empty.
 	queues map[string]*backlog[T]
-	// virtual is the highest start that was given out. It never falls.
-	virtual float64
-	// work is the sum of all costs that wait.
+	// virtualTime is the highest virtual start time of a value returned so far. It never
+	// decreases.
+	virtualTime float64
+	// work is the sum of the costs of all queued values.
 	work  time.Duration
 	count int
 	seq   uint64
 }
 
 type backlog[T any] struct {
-	weight  float64
-	virtual float64
-	urgent  entries[T]
-	patient entries[T]
-	work    time.Duration
+	weight             float64
+	virtualTime        float64
+	interactiveEntries entries[T]
+	backgroundEntries  entries[T]
+	work               time.Duration
 }
 
 type entry[T any] struct {
@@ -64,32 +65,32 @@
 	seq   uint64
 }
 
-// entries is a heap by latest start.
+// entries is a heap by latest start, or by arrival.
 type entries[T any] struct {
 	list      []entry[T]
 	byArrival bool
 }
 
-// Window is how far ahead of its share a workspace may be, as work per unit of
-// weight, and still be served by slack alone.
+// Window is how far ahead of its share a workspace may be, as work per unit of weight, and
+// still be served by slack alone.
 const Window = 200 * time.Millisecond
 
-// New returns an empty queue.
+// New returns an empty Queue.
 func New[T any](policy Policy) *Queue[T] {
 	return &Queue[T]{policy: policy, window: Window, queues: make(map[string]*backlog[T])}
 }
 
-// Len returns how many values wait.
+// Len returns the number of queued values.
 func (q *Queue[T]) Len() int {
 	return q.count
 }
 
-// Work returns the sum of the costs that wait.
+// Work returns the sum of the costs of all queued values.
 func (q *Queue[T]) Work() time.Duration {
 	return q.work
 }
 
-// Push adds value.
+// Push adds a value.
 func (q *Queue[T]) Push(value T, item Item) {
 	q.seq++
 	name := item.Workspace
@@ -99,89 +100,89 @@
 	}
 	b := q.queues[name]
 	if b == nil {
-		b = &backlog[T]{virtual: q.virtual}
-		b.urgent.byArrival = q.policy == Arrival
+		b = &backlog[T]{virtualTime: q.virtualTime}
+		b.interactiveEntries.byArrival = q.policy == Arrival
 		q.queues[name] = b
 	}
 	b.weight = float64(max(item.Weight, 1))
 	b.work += item.Cost
 	q.work += item.Cost
 	q.count++
-	target := &b.urgent
+	target := &b.interactiveEntries
 	if item.Background {
-		target = &b.patient
+		target = &b.backgroundEntries
 	}
 	heap.Push(target, entry[T]{value: value, item: item, seq: q.seq})
 }
 
-// Pop removes and returns the next value. With urgentOnly it passes over
-// background work. It reports false where nothing fits.
-func (q *Queue[T]) Pop(urgentOnly bool) (T, bool) {
-	name, b, from := q.next(false)
-	if b == nil && !urgentOnly {
-		name, b, from = q.next(true)
+// Pop removes and returns the next value. With interactiveOnly it skips background work. It
+// reports false if there is none.
+func (q *Queue[T]) Pop(interactiveOnly bool) (T, bool) {
+	name, b, from := q.selectBacklog(false)
+	if b == nil && !interactiveOnly {
+		name, b, from = q.selectBacklog(true)
 	}
 	if b == nil {
 		var zero T
 		return zero, false
 	}
 	e := heap.Pop(from).(entry[T])
-	q.virtual = max(q.virtual, b.virtual)
-	b.virtual += e.item.Cost.Seconds() / b.weight
+	q.virtualTime = max(q.virtualTime, b.virtualTime)
+	b.virtualTime += e.item.Cost.Seconds() / b.weight
 	b.work -= e.item.Cost
 	q.work -= e.item.Cost
 	q.count--
-	if len(b.urgent.list)+len(b.patient.list) == 0 {
-		q.retire(name, b)
+	if len(b.interactiveEntries.list)+len(b.backgroundEntries.list) == 0 {
+		q.removeBacklog(name, b)
 	}
 	return e.value, true
 }
 
-// next chooses the backlog to serve among those with urgent or patient work.
-func (q *Queue[T]) next(background bool) (string, *backlog[T], *entries[T]) {
+// selectBacklog selects the backlog to serve among those with interactive or background work.
+func (q *Queue[T]) selectBacklog(background bool) (string, *backlog[T], *entries[T]) {
 	lowest, found := 0.0, false
 	for _, b := range q.queues {
-		if len(b.of(background).list) == 0 {
+		if len(b.entriesFor(background).list) == 0 {
 			continue
 		}
-		if !found || b.virtual < lowest {
-			lowest, found = b.virtual, true
+		if !found || b.virtualTime < lowest {
+			lowest, found = b.virtualTime, true
 		}
 	}
 	var bestName string
 	var best *backlog[T]
 	for name, b := range q.queues {
-		from := b.of(background)
-		if len(from.list) == 0 || b.virtual > lowest+q.window.Seconds() {
+		from := b.entriesFor(background)
+		if len(from.list) == 0 || b.virtualTime > lowest+q.window.Seconds() {
 			continue
 		}
-		if best == nil || from.list[0].before(best.of(background).list[0], from.byArrival) {
+		if best == nil || from.list[0].precedes(best.entriesFor(background).list[0], from.byArrival) {
 			bestName, best = name, b
 		}
 	}
 	if best == nil {
 		return "", nil, nil
 	}
-	return bestName, best, best.of(background)
+	return bestName, best, best.entriesFor(background)
 }
 
-// retire drops an empty backlog. One that is ahead of its share is kept in
-// mind by raising the common start only as far as the share allows.
-func (q *Queue[T]) retire(name string, b *backlog[T]) {
+// removeBacklog removes an empty backlog. The lead of a workspace over its share is kept by
+// raising the common virtual time, but only if no other workspace has work queued.
+func (q *Queue[T]) removeBacklog(name string, b *backlog[T]) {
 	delete(q.queues, name)
 	if len(q.queues) == 0 {
-		q.virtual = max(q.virtual, b.virtual)
+		q.virtualTime = max(q.virtualTime, b.virtualTime)
 	}
 }
 
-func (b *backlog[T]) of(background bool) *entries[T] {
+func (b *backlog[T]) entriesFor(background bool) *entries[T] {
 	if background {
-		return &b.patient
+		return &b.backgroundEntries
 	}
-	return &b.urgent
+	return &b.interactiveEntries
 }
 
-func (e entry[T]) before(other entry[T], byArrival bool) bool {
+func (e entry[T]) precedes(other entry[T], byArrival bool) bool {
 	if byArrival || e.item.Latest.Equal(other.item.Latest) {
 		return e.seq < other.seq
 	}
@@ -191,7 +192,7 @@
 // Len, Less, Swap, Push and Pop are for container/heap.
 
 func (s *entries[T]) Len() int           { return len(s.list) }
-func (s *entries[T]) Less(i, j int) bool { return s.list[i].before(s.list[j], s.byArrival) }
+func (s *entries[T]) Less(i, j int) bool { return s.list[i].precedes(s.list[j], s.byArrival) }
 func (s *entries[T]) Swap(i, j int)      { s.list[i], s.list[j] = s.list[j], s.list[i] }
 func (s *entries[T]) Push(x any)         { s.list = append(s.list, x.(entry[T])) }
 
--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -18,10 +18,10 @@
 	return queue.Item{Workspace: workspace, Weight: weight, Latest: start.Add(slack), Cost: cost}
 }
 
-func drain(q *queue.Queue[string], urgentOnly bool) []string {
+func drain(q *queue.Queue[string], interactiveOnly bool) []string {
 	var out []string
 	for {
-		v, ok := q.Pop(urgentOnly)
+		v, ok := q.Pop(interactiveOnly)
 		if !ok {
 			return out
 		}
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestLeastSlackFirstAmongThoseWithinTheirShare(t *testing.T) {
+func TestLeastSlackGoesFirstWithinShare(t *testing.T) {
 	q := queue.New[string](queue.FairSlack)
 	q.Push("late", item("a", 1, 3*time.Second, time.Millisecond))
 	q.Push("soon", item("b", 1, time.Second, time.Millisecond))
@@ -38,7 +38,7 @@
 	assert.Equal(t, q.Work(), time.Duration(0))
 }
 
-func TestOneWorkspaceCannotDrownTheOthers(t *testing.T) {
+func TestBusyWorkspaceCannotStarveOthers(t *testing.T) {
 	q := queue.New[string](queue.FairSlack)
 	for range 200 {
 		q.Push("flood", item("large", 1, time.Second, 100*time.Millisecond))
@@ -53,10 +53,10 @@
 			others++
 		}
 	}
-	assert.Equal(t, others, 10, "half of what is served, though the flood has less slack")
+	assert.Equal(t, others, 10, "small must get its half share although the flood has less slack")
 }
 
-func TestWeightsShareTheWork(t *testing.T) {
+func TestSharesFollowWeights(t *testing.T) {
 	q := queue.New[string](queue.FairSlack)
 	for range 400 {
 		q.Push("three", item("three", 3, time.Second, 100*time.Millisecond))
@@ -71,7 +71,7 @@
 	assert.Assert(t, three >= 140 && three <= 160, "got %d of 200, want about 150", three)
 }
 
-func TestBackgroundYields(t *testing.T) {
+func TestBackgroundWorkYieldsToInteractive(t *testing.T) {
 	q := queue.New[string](queue.FairSlack)
 	patient := item("a", 1, time.Hour, time.Second)
 	patient.Background = true
@@ -81,7 +81,7 @@
 	assert.DeepEqual(t, drain(q, false), []string{"patient"})
 }
 
-func TestArrivalKnowsNoShares(t *testing.T) {
+func TestArrivalPolicyIgnoresShares(t *testing.T) {
 	q := queue.New[string](queue.Arrival)
 	q.Push("1", item("a", 1, time.Hour, time.Second))
 	q.Push("2", item("b", 100, time.Second, time.Second))
