--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -1,39 +1,39 @@
 // Copyright 2026 The Wingvale Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package budget keeps retries to a share of first tries, so that a fault does
-// not multiply the load that caused it.
+// Package budget limits retries to a share of first attempts, so that a fault does not
+// multiply the load that caused it.
 package budget
 
 import "sync"
 
 const (
-	// Share is how much of a retry each first try earns.
+	// Share is the fraction of a retry that each first attempt earns.
 	Share = 0.15
-	// Reserve is how many retries a quiet node may make at once.
+	// Reserve is how many retries a node may make at once after a quiet period.
 	Reserve = 10
 )
 
-// Budget is safe for concurrent use.
+// Budget is a token bucket for retries. It is safe for concurrent use.
 type Budget struct {
 	mu sync.Mutex
 	// tokens is between 0 and Reserve.
 	tokens float64
 }
 
-// New returns a full budget.
+// New returns a full Budget.
 func New() *Budget {
 	return &Budget{tokens: Reserve}
 }
 
-// First notes a first try.
+// First records a first attempt.
 func (b *Budget) First() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tokens = min(b.tokens+Share, Reserve)
 }
 
-// Retry takes one retry and reports whether there was one.
+// Retry takes one retry from the budget. It reports false if none is available.
 func (b *Budget) Retry() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -44,7 +44,7 @@
 	return true
 }
 
-// Left returns how many retries are left.
+// Left returns how many retries are available.
 func (b *Budget) Left() float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
