--- a/internal/backend/client.go
+++ b/internal/backend/client.go
@@ -30,30 +30,30 @@
 	return &Client{transport: newTransport(dial)}
 }
 
-// Close drops the kept connections. Calls under way go on.
+// Close closes the idle connections. Calls in progress continue.
 func (c *Client) Close() {
 	c.transport.CloseIdleConnections()
 }
 
-// Call names one call to a backend server.
+// Call identifies one call to a backend server.
 type Call struct {
 	Server  netip.AddrPort
 	Request request.ID
 	Stage   string
-	// Attempt numbers the sends of this stage, from 1.
+	// Attempt is the number of this send of the stage, starting at 1.
 	Attempt int
-	// Deadline is when the answer is of no more use.
+	// Deadline is the time after which the answer is no longer useful.
 	Deadline time.Time
 }
 
-// Report is what an answer says beside its content.
+// Report is the load report in an answer. Known reports whether there was one.
 type Report struct {
 	Load  protocol.Load
 	Known bool
 }
 
-// Stage calls a pool or a plain service and returns its result. The report is
-// valid also where an error is returned.
+// Stage calls a pool or a plain service and returns its result. The report is also valid
+// if an error is returned.
 func (c *Client) Stage(ctx context.Context, call Call, body protocol.StageCall) (json.RawMessage, Report, error) {
 	body.Request, body.Stage, body.Attempt = call.Request, call.Stage, call.Attempt
 	response, err := c.post(ctx, call, protocol.PathStages+call.Stage, body)
@@ -61,9 +61,9 @@
 		return nil, Report{}, err
 	}
 	defer drain(response.Body)
-	report := reportOf(response)
+	report := parseReport(response)
 	if response.StatusCode != http.StatusOK {
-		return nil, report, refusal(response)
+		return nil, report, refusalError(response)
 	}
 	answer, err := wire.ReadLoose[protocol.StageAnswer](response.Body, protocol.MaxResultBytes)
 	if err != nil {
@@ -82,14 +82,14 @@
 		return nil, verdict.New(verdict.NotRun, verdict.ReasonInternal, "backend: %w", err)
 	}
 	url := "http://" + call.Server.String() + path
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, url, onceBody{bytes.NewReader(data)})
+	r, err := http.NewRequestWithContext(ctx, http.MethodPost, url, singleUseBody{bytes.NewReader(data)})
 	if err != nil {
 		return nil, verdict.New(verdict.NotRun, verdict.ReasonInternal, "backend: %w", err)
 	}
 	r.ContentLength = int64(len(data))
 	setHeaders(r, call)
 	r.Header.Set(wire.ContentType, wire.TypeJSON)
-	response, err := exchange(c.transport, r)
+	response, err := roundTrip(c.transport, r)
 	if err != nil {
 		return nil, err
 	}
@@ -110,8 +110,8 @@
 	}
 }
 
-// checkEcho drops an answer that is for another call, whatever its status: a
-// refusal meant for another must not pass as "not started" either.
+// checkEcho rejects an answer to another call, whatever its status: even a refusal of
+// another call must not be taken for "not started".
 func checkEcho(response *http.Response, call Call) error {
 	h := response.Header
 	if h.Get(protocol.HeaderRequest) == call.Request.String() &&
@@ -124,17 +124,17 @@
 		h.Get(protocol.HeaderRequest), h.Get(protocol.HeaderStage), h.Get(protocol.HeaderAttempt))
 }
 
-func reportOf(response *http.Response) Report {
+func parseReport(response *http.Response) Report {
 	load, known := protocol.ParseLoad(response.Header)
 	return Report{Load: load, Known: known}
 }
 
-const refusalLimit = 8 << 10
+const maxRefusalBytes = 8 << 10
 
-// refusal turns an answer that is not 200 into an error. It is NotRun only if
-// the server says that the call did not start.
-func refusal(response *http.Response) error {
-	body, _ := wire.ReadLoose[protocol.Refusal](response.Body, refusalLimit)
+// refusalError converts an answer whose status is not 200 into an error. Its verdict is
+// NotRun only if the server reports that the call was not started.
+func refusalError(response *http.Response) error {
+	body, _ := wire.ReadLoose[protocol.Refusal](response.Body, maxRefusalBytes)
 	v, reason := verdict.Unknown, verdict.ReasonServerFailed
 	if response.Header.Get(protocol.HeaderNotStarted) == "true" {
 		v, reason = verdict.NotRun, verdict.ReasonRefused
@@ -143,15 +143,16 @@
 	return e.After(body.RetryAfter.Std())
 }
 
-const drainLimit = 64 << 10
+const maxDrainBytes = 64 << 10
 
-// drain reads the rest of a body so that its connection can be kept.
+// drain reads the rest of a body, up to maxDrainBytes, so that its connection can be
+// reused.
 func drain(body io.ReadCloser) {
-	_, _ = io.Copy(io.Discard, io.LimitReader(body, drainLimit))
+	_, _ = io.Copy(io.Discard, io.LimitReader(body, maxDrainBytes))
 	_ = body.Close()
 }
 
-// get reads one JSON answer of a GET, which may be repeated.
+// get sends a GET, which may be repeated, and decodes its JSON answer.
 func get[T any](ctx context.Context, c *Client, server netip.AddrPort, path string, limit int64) (T, error) {
 	var zero T
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+server.String()+path, http.NoBody)
--- a/internal/backend/guard.go
+++ b/internal/backend/conn.go
@@ -16,32 +16,32 @@
 	"github.com/wingvale/wingvale/verdict"
 )
 
-// Dial connects to an address given as IP number and port.
+// Dial connects to an address given as IP address and port.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Limits of connections to one backend server.
+// Limits of the connections to one backend server.
 const (
-	maxIdlePerServer  = 64
-	idleTimeout       = 30 * time.Second
-	headerLimit       = 64 << 10
-	connectionTimeout = time.Second
+	maxIdlePerServer = 64
+	idleTimeout      = 30 * time.Second
+	maxHeaderBytes   = 64 << 10
+	dialTimeout      = time.Second
 )
 
-// guardedConn counts writes, so that after a failure it is known whether any
-// byte may have reached the far side.
-type guardedConn struct {
+// trackedConn counts writes, so that after a failure it is known whether any byte may have
+// reached the server.
+type trackedConn struct {
 	net.Conn
 
 	mu sync.Mutex
-	// writes counts the writes that sent, or may yet send, a byte.
+	// writes counts the writes that sent, or may still send, a byte.
 	writes int
-	// sealed refuses every further write.
+	// sealed makes all further writes fail.
 	sealed bool
 }
 
-var errSealed = errors.New("backend: the connection was given up")
+var errSealed = errors.New("backend: connection is closed for writing")
 
-func (c *guardedConn) Write(b []byte) (int, error) {
+func (c *trackedConn) Write(b []byte) (int, error) {
 	c.mu.Lock()
 	if c.sealed {
 		c.mu.Unlock()
@@ -58,15 +58,15 @@
 	return n, err
 }
 
-func (c *guardedConn) count() int {
+func (c *trackedConn) writeCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.writes
 }
 
-// seal stops all writing, closes the connection, and returns the count. A
-// write that is under way counts.
-func (c *guardedConn) seal() int {
+// seal prevents further writes, closes the connection, and returns the number of writes,
+// including one in progress.
+func (c *trackedConn) seal() int {
 	c.mu.Lock()
 	c.sealed = true
 	count := c.writes
@@ -75,45 +75,45 @@
 	return count
 }
 
-// newTransport returns a transport whose connections are guarded, and that
-// follows no proxy and speaks HTTP/1.1 only: HTTP/2 has resends of its own.
+// newTransport returns a transport with tracked connections. It uses no proxy and HTTP/1.1
+// only, because HTTP/2 resends requests by itself.
 func newTransport(dial Dial) *http.Transport {
 	return &http.Transport{
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
-			ctx, cancel := context.WithTimeout(ctx, connectionTimeout)
+			ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 			defer cancel()
 			conn, err := dial(ctx, network, address)
 			if err != nil {
 				return nil, err
 			}
-			return &guardedConn{Conn: conn}, nil
+			return &trackedConn{Conn: conn}, nil
 		},
 		DisableCompression:     true,
 		MaxIdleConnsPerHost:    maxIdlePerServer,
 		IdleConnTimeout:        idleTimeout,
-		MaxResponseHeaderBytes: headerLimit,
+		MaxResponseHeaderBytes: maxHeaderBytes,
 	}
 }
 
-// onceBody keeps http.Transport from sending a request again: it can neither
-// be rewound nor looked into.
-type onceBody struct{ io.Reader }
+// singleUseBody prevents http.Transport from resending a request: it can neither be
+// rewound nor inspected.
+type singleUseBody struct{ io.Reader }
 
 // Close does nothing.
-func (onceBody) Close() error { return nil }
+func (singleUseBody) Close() error { return nil }
 
-// exchange sends request once and says, for a failure, whether it may have
-// reached the server. The request must be a POST without Idempotency-Key, with
-// a body that is a onceBody of at least one byte.
-func exchange(rt http.RoundTripper, request *http.Request) (*http.Response, error) {
+// roundTrip sends a request once. The verdict of an error reports whether the request may
+// have reached the server. The request must be a POST without Idempotency-Key, and its
+// body a singleUseBody of at least one byte.
+func roundTrip(rt http.RoundTripper, request *http.Request) (*http.Response, error) {
 	var mu sync.Mutex
-	var conn *guardedConn
+	var conn *trackedConn
 	before := 0
 	trace := &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
 		mu.Lock()
 		defer mu.Unlock()
-		if c, ok := info.Conn.(*guardedConn); ok {
-			conn, before = c, c.count()
+		if c, ok := info.Conn.(*trackedConn); ok {
+			conn, before = c, c.writeCount()
 		}
 	}}
 	ctx := httptrace.WithClientTrace(request.Context(), trace)
--- a/internal/backend/guard_test.go
+++ b/internal/backend/conn_test.go
@@ -31,38 +31,37 @@
 	server = netip.MustParseAddrPort("10.0.0.2:80")
 )
 
-// hostile is a listener that closes connections where it is told to. It counts
-// the requests of which at least one byte arrived.
-type hostile struct {
+// faultyServer closes connections as the test case requires. It counts the requests of
+// which at least one byte arrived.
+type faultyServer struct {
 	mu       sync.Mutex
 	arrivals int
 }
 
-func (h *hostile) count() int {
+func (h *faultyServer) arrivalCount() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.arrivals
 }
 
-// behaviour handles one connection; first is false for all but the first
-// request on it.
-type behaviour func(conn net.Conn, r *http.Request)
+// connHandler handles one request on a connection.
+type connHandler func(conn net.Conn, r *http.Request)
 
-func answer(conn net.Conn, r *http.Request, header, body string) {
+func writeAnswer(conn net.Conn, r *http.Request, header, body string) {
 	_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\n%s: %s\r\n%s: %s\r\n%s: %s\r\n%sContent-Length: %d\r\n\r\n%s",
 		protocol.HeaderRequest, r.Header.Get(protocol.HeaderRequest),
 		protocol.HeaderStage, r.Header.Get(protocol.HeaderStage),
 		protocol.HeaderAttempt, r.Header.Get(protocol.HeaderAttempt), header, len(body), body)
 }
 
-func result(r *http.Request) string {
+func resultJSON(r *http.Request) string {
 	return fmt.Sprintf(`{"request":%q,"stage":%q,"attempt":%s,"result":{}}`,
 		r.Header.Get(protocol.HeaderRequest), r.Header.Get(protocol.HeaderStage), r.Header.Get(protocol.HeaderAttempt))
 }
 
-// serve answers the first request of each connection well, and lets bad handle
-// those after it.
-func (h *hostile) serve(l net.Listener, before func(net.Conn), bad behaviour) {
+// serve answers the first request of each connection correctly, and passes the second to
+// bad if that is set.
+func (h *faultyServer) serve(l net.Listener, before func(net.Conn), bad connHandler) {
 	for {
 		conn, err := l.Accept()
 		if err != nil {
@@ -87,7 +86,7 @@
 				}
 				if n == 0 || bad == nil {
 					_, _ = io.Copy(io.Discard, r.Body)
-					answer(conn, r, "", result(r))
+					writeAnswer(conn, r, "", resultJSON(r))
 					continue
 				}
 				bad(conn, r)
@@ -97,14 +96,14 @@
 	}
 }
 
-func TestNoCallArrivesTwiceAndNoFalseNotRun(t *testing.T) {
+func TestStageNeverResendsNorMisreportsNotRun(t *testing.T) {
 	other := request.Issue(request.Key{1}, server, 9, 9, 0).String()
 	cases := []struct {
 		name   string
 		before func(net.Conn)
-		bad    behaviour
-		// want is the second call's verdict, and arrivals what the listener
-		// must have counted, the first call included.
+		bad    connHandler
+		// want is the verdict of the second call, and arrivals the expected number of
+		// requests counted by the server, including the first call.
 		want     verdict.Verdict
 		arrivals int
 	}{
@@ -114,26 +113,26 @@
 		{"closes after the body", nil, func(_ net.Conn, r *http.Request) { _, _ = io.Copy(io.Discard, r.Body) }, verdict.Unknown, 2},
 		{"closes amid the status line", nil, func(c net.Conn, _ *http.Request) { _, _ = io.WriteString(c, "HTTP/1.1 2") }, verdict.Unknown, 2},
 		{"closes after the headers", nil, func(c net.Conn, r *http.Request) {
-			answer(c, r, "", "")
+			writeAnswer(c, r, "", "")
 		}, verdict.Unknown, 2},
 		{"cuts the body short", nil, func(c net.Conn, r *http.Request) {
-			text := result(r)
+			text := resultJSON(r)
 			_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\n%s: a\r\n%s: 2\r\nContent-Length: %d\r\n\r\n%s",
 				protocol.HeaderRequest, r.Header.Get(protocol.HeaderRequest), protocol.HeaderStage, protocol.HeaderAttempt, len(text)+1, text[:len(text)-1])
 		}, verdict.Unknown, 2},
 		{"answers for another request", nil, func(c net.Conn, r *http.Request) {
 			r.Header.Set(protocol.HeaderRequest, other)
-			answer(c, r, "", result(r))
+			writeAnswer(c, r, "", resultJSON(r))
 		}, verdict.Unknown, 2},
 		{"refuses for another request", nil, func(c net.Conn, _ *http.Request) {
 			_, _ = fmt.Fprintf(c, "HTTP/1.1 503 No\r\n%s: %s\r\n%s: true\r\nContent-Length: 0\r\n\r\n", protocol.HeaderRequest, other, protocol.HeaderNotStarted)
 		}, verdict.Unknown, 2},
 		{"answers a result for another request", nil, func(c net.Conn, r *http.Request) {
-			text := strings.Replace(result(r), r.Header.Get(protocol.HeaderRequest), other, 1)
-			answer(c, r, "", text)
+			text := strings.Replace(resultJSON(r), r.Header.Get(protocol.HeaderRequest), other, 1)
+			writeAnswer(c, r, "", text)
 		}, verdict.Unknown, 2},
 		{"fails and says not started", nil, func(c net.Conn, r *http.Request) {
-			// Unread data would reset the connection, and the answer with it.
+			// Unread data would reset the connection and lose the answer.
 			_, _ = io.Copy(io.Discard, r.Body)
 			_, _ = fmt.Fprintf(c, "HTTP/1.1 503 No\r\n%s: %s\r\n%s: a\r\n%s: 2\r\n%s: true\r\nContent-Length: 0\r\n\r\n",
 				protocol.HeaderRequest, r.Header.Get(protocol.HeaderRequest), protocol.HeaderStage, protocol.HeaderAttempt, protocol.HeaderNotStarted)
@@ -148,8 +147,8 @@
 		}, verdict.Unknown, 2},
 		{"answers twice", nil, func(c net.Conn, r *http.Request) {
 			_, _ = io.Copy(io.Discard, r.Body)
-			answer(c, r, "", result(r))
-			answer(c, r, "", result(r))
+			writeAnswer(c, r, "", resultJSON(r))
+			writeAnswer(c, r, "", resultJSON(r))
 		}, verdict.Ran, 2},
 	}
 	for _, c := range cases {
@@ -163,15 +162,15 @@
 	}
 }
 
-// callTwice makes two calls on one kept connection to a hostile listener, of
-// which it answers the first well. It returns how the second one ended, and how
-// many arrived.
-func callTwice(t *testing.T, before func(net.Conn), bad behaviour) (arrivals int, second error) {
+// callTwice makes two calls on one kept connection to a faulty server, which answers the
+// first one correctly. It returns the error of the second call and the number of requests
+// that arrived.
+func callTwice(t *testing.T, before func(net.Conn), bad connHandler) (arrivals int, second error) {
 	t.Helper()
 	network := memnet.New(nil)
 	l, err := network.Listen(server)
 	assert.NilError(t, err)
-	h := &hostile{}
+	h := &faultyServer{}
 	go h.serve(l, before, bad)
 	client := backend.New(network.Dialer(caller))
 	defer func() {
@@ -188,10 +187,10 @@
 	call.Attempt = 2
 	_, _, second = client.Stage(ctx, call, protocol.StageCall{Input: "x"})
 	synctest.Wait()
-	return h.count(), second
+	return h.arrivalCount(), second
 }
 
-func TestNothingListensIsNotRun(t *testing.T) {
+func TestStageIsNotRunIfNothingListens(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client := backend.New(memnet.New(nil).Dialer(caller))
 		call := backend.Call{Server: server, Request: request.Issue(request.Key{1}, server, 1, 1, 0), Stage: "a", Attempt: 1}
--- a/internal/backend/engine.go
+++ b/internal/backend/engine.go
@@ -26,27 +26,27 @@
 
 // Piece is one part of an engine's stream.
 type Piece struct {
-	// Offset counts the pieces of the stream from 0 without gaps.
+	// Offset is the number of the piece in the stream, counted from 0 without gaps.
 	Offset int
 	Text   string
 	// Usage is set on the last piece.
 	Usage *protocol.CompletionUsage
 }
 
-// Stream is an engine's answer under way. Close must be called.
+// Stream is an engine's answer in progress. Close must be called.
 type Stream struct {
-	// ID is the engine's name of the stream and is never empty.
+	// ID is the engine's id of the stream; it is never empty.
 	ID string
-	// Report is what the engine said when the stream began.
+	// Report is the engine's load report at the start of the stream.
 	Report Report
 
 	body   io.ReadCloser
 	server string
-	// next is the offset that the next piece must bear.
-	next int
+	// nextOffset is the expected offset of the next piece.
+	nextOffset int
 }
 
-// Complete starts a completion. An error says whether it may have started.
+// Complete starts a completion. The verdict of an error reports whether it may have started.
 func (c *Client) Complete(ctx context.Context, call Call, body protocol.Completion) (*Stream, Report, error) {
 	body.Stream = true
 	response, err := c.post(ctx, call, protocol.PathCompletions, body)
@@ -56,8 +56,8 @@
 	return newStream(response, call, "", 0)
 }
 
-// Resume goes on with the stream id at the piece with the given offset. It
-// starts nothing, so it may be repeated.
+// Resume continues the stream id at the piece with the given offset. It does not start a
+// completion, so it may be repeated.
 func (c *Client) Resume(ctx context.Context, call Call, id string, offset int) (*Stream, Report, error) {
 	path := protocol.PathStreams + url.PathEscape(id) + "?from=" + strconv.Itoa(offset)
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+call.Server.String()+path, http.NoBody)
@@ -82,7 +82,7 @@
 	return s, report, nil
 }
 
-// Cancel ends the stream id at the engine.
+// Cancel cancels the stream id at the engine.
 func (c *Client) Cancel(ctx context.Context, call Call, id string) error {
 	path := "http://" + call.Server.String() + protocol.PathStreams + url.PathEscape(id)
 	r, err := http.NewRequestWithContext(ctx, http.MethodDelete, path, http.NoBody)
@@ -99,36 +99,36 @@
 }
 
 func newStream(response *http.Response, call Call, want string, offset int) (*Stream, Report, error) {
-	report := reportOf(response)
+	report := parseReport(response)
 	if response.StatusCode != http.StatusOK {
 		defer drain(response.Body)
-		return nil, report, refusal(response)
+		return nil, report, refusalError(response)
 	}
 	id := response.Header.Get(protocol.HeaderStream)
 	if id == "" || len(id) > pipeline.MaxNameBytes || want != "" && id != want {
 		_ = response.Body.Close()
 		return nil, report, verdict.New(verdict.Unknown, verdict.ReasonBadAnswer, "backend: %s names stream %.80q", call.Server, id)
 	}
-	return &Stream{ID: id, Report: report, body: response.Body, server: call.Server.String(), next: offset}, report, nil
+	return &Stream{ID: id, Report: report, body: response.Body, server: call.Server.String(), nextOffset: offset}, report, nil
 }
 
-// Close gives the stream up at this end only.
+// Close closes the stream at this end only; the engine is not notified.
 func (s *Stream) Close() {
 	_ = s.body.Close()
 }
 
-// Next returns the offset that the next piece will have.
+// Next returns the offset of the next piece.
 func (s *Stream) Next() int {
-	return s.next
+	return s.nextOffset
 }
 
 var (
-	errCut    = errors.New("backend: the stream ended before its end mark")
-	errNoLast = errors.New("backend: the stream's end mark came without a finish reason")
+	errTruncated      = errors.New("backend: stream ended before its end marker")
+	errNoFinishReason = errors.New("backend: end marker of the stream arrived without a finish reason")
 )
 
-// Pieces yields the pieces in order. An error ends it; without one the stream
-// is whole.
+// Pieces yields the pieces in order. An error ends the sequence; without one, the stream
+// is complete.
 func (s *Stream) Pieces() iter.Seq2[Piece, error] {
 	return func(yield func(Piece, error) bool) {
 		finished := false
@@ -139,13 +139,13 @@
 			}
 			if event.Data == protocol.StreamEnd {
 				if !finished {
-					yield(Piece{}, s.bad(errNoLast))
+					yield(Piece{}, s.badAnswer(errNoFinishReason))
 				}
 				return
 			}
-			piece, last, err := s.piece(event)
+			piece, last, err := s.parsePiece(event)
 			if err != nil {
-				yield(Piece{}, s.bad(err))
+				yield(Piece{}, s.badAnswer(err))
 				return
 			}
 			finished = last
@@ -153,48 +153,49 @@
 				return
 			}
 		}
-		yield(Piece{}, verdict.New(verdict.Unknown, verdict.ReasonConnection, "backend: %s: %w", s.server, errCut))
+		yield(Piece{}, verdict.New(verdict.Unknown, verdict.ReasonConnection, "backend: %s: %w", s.server, errTruncated))
 	}
 }
 
-func (s *Stream) bad(err error) error {
+func (s *Stream) badAnswer(err error) error {
 	return verdict.New(verdict.Unknown, verdict.ReasonBadAnswer, "backend: %s: %w", s.server, err)
 }
 
-// piece checks that the event is the stream's next one.
-func (s *Stream) piece(event sse.Event) (Piece, bool, error) {
+// parsePiece checks that the event is the next one of the stream and decodes it. It also
+// reports whether the piece has a finish reason.
+func (s *Stream) parsePiece(event sse.Event) (Piece, bool, error) {
 	var chunk protocol.CompletionChunk
 	if err := json.Unmarshal([]byte(event.Data), &chunk); err != nil {
 		return Piece{}, false, err
 	}
 	if chunk.ID != s.ID {
-		return Piece{}, false, errors.New("backend: a piece of another stream")
+		return Piece{}, false, errors.New("backend: piece belongs to another stream")
 	}
-	if event.LastEventID != strconv.Itoa(s.next) {
-		return Piece{}, false, errors.New("backend: a piece out of order")
+	if event.LastEventID != strconv.Itoa(s.nextOffset) {
+		return Piece{}, false, errors.New("backend: piece is out of order")
 	}
 	if len(chunk.Choices) != 1 || chunk.Choices[0].Index != 0 {
-		return Piece{}, false, errors.New("backend: a piece without its one choice")
+		return Piece{}, false, errors.New("backend: piece does not have exactly one choice")
 	}
 	choice := chunk.Choices[0]
 	if choice.FinishReason != nil && *choice.FinishReason != "stop" && *choice.FinishReason != "length" {
 		return Piece{}, false, errors.New("backend: the engine ended with " + strconv.Quote(*choice.FinishReason))
 	}
-	p := Piece{Offset: s.next, Text: choice.Text, Usage: chunk.Usage}
-	s.next++
+	p := Piece{Offset: s.nextOffset, Text: choice.Text, Usage: chunk.Usage}
+	s.nextOffset++
 	return p, choice.FinishReason != nil, nil
 }
 
-const stateLimit = 64 << 10
+const maxStateBytes = 64 << 10
 
-// State asks a backend server for its load report.
+// State requests the load report of a backend server.
 func (c *Client) State(ctx context.Context, call Call) (protocol.EngineState, error) {
-	return get[protocol.EngineState](ctx, c, call.Server, protocol.PathLoad, stateLimit)
+	return get[protocol.EngineState](ctx, c, call.Server, protocol.PathLoad, maxStateBytes)
 }
 
-// Cache asks an engine for its cache events after a sequence number.
+// Cache requests the cache events of an engine after a sequence number.
 func (c *Client) Cache(ctx context.Context, server netip.AddrPort, after uint64) (protocol.CacheEvents, error) {
-	return get[protocol.CacheEvents](ctx, c, server, protocol.PathCacheEvents+"?after="+strconv.FormatUint(after, 10), stateLimit)
+	return get[protocol.CacheEvents](ctx, c, server, protocol.PathCacheEvents+"?after="+strconv.FormatUint(after, 10), maxStateBytes)
 }
 
 // Order sends one order, once.
@@ -205,7 +206,7 @@
 	}
 	defer drain(response.Body)
 	if response.StatusCode != http.StatusOK {
-		return protocol.EngineState{}, refusal(response)
+		return protocol.EngineState{}, refusalError(response)
 	}
-	return wire.ReadLoose[protocol.EngineState](response.Body, stateLimit)
+	return wire.ReadLoose[protocol.EngineState](response.Body, maxStateBytes)
 }
