--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The Wingvale Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package wire reads and writes bounded JSON bodies and server-sent events.
+// Package wire reads and writes JSON bodies of limited size and server-sent events.
 package wire
 
 import (
@@ -14,26 +14,27 @@
 	"github.com/tmaxmax/go-sse"
 )
 
-// Header names that the edges share.
+// Header names and content types shared by clients and servers.
 const (
 	ContentType = "Content-Type"
 	TypeJSON    = "application/json"
 	TypeEvents  = "text/event-stream"
 )
 
-// ErrTooLarge says that a body is longer than its limit.
+// ErrTooLarge means that a body exceeds its size limit.
 var ErrTooLarge = errors.New("wire: body too large")
 
-// Checker is a type that checks itself once decoded.
+// Checker is a type that validates itself after it has been decoded.
 type Checker interface{ Check() error }
 
-// Read decodes exactly one JSON value of at most limit bytes and refuses
-// fields that T does not have. A T that is a Checker is checked.
+// Read decodes exactly one JSON value of at most limit bytes and rejects fields unknown to
+// T. If T is a Checker, the value is validated.
 func Read[T any](r io.Reader, limit int64) (T, error) {
 	return read[T](r, limit, true)
 }
 
-// ReadLoose is Read for values of others, whose unknown fields are passed over.
+// ReadLoose is like Read but ignores unknown fields. It is meant for values from other
+// systems.
 func ReadLoose[T any](r io.Reader, limit int64) (T, error) {
 	return read[T](r, limit, false)
 }
@@ -55,7 +56,7 @@
 		if bounded.N <= 0 {
 			return v, fmt.Errorf("%w: more than %d bytes", ErrTooLarge, limit)
 		}
-		return v, errors.New("wire: something follows the JSON value or cuts it off")
+		return v, errors.New("wire: unexpected or incomplete data after the JSON value")
 	}
 	if c, ok := any(v).(Checker); ok {
 		if err := c.Check(); err != nil {
@@ -65,7 +66,8 @@
 	return v, nil
 }
 
-// Write answers with v as JSON. An error means that the reader is gone.
+// Write sends v as a JSON response. An error means that the client has disconnected, or
+// that v cannot be encoded.
 func Write(w http.ResponseWriter, status int, v any) error {
 	data, err := json.Marshal(v)
 	if err != nil {
@@ -83,14 +85,15 @@
 	control *http.ResponseController
 }
 
-// NewEvents starts the stream: status and headers go out with the first event.
+// NewEvents prepares the stream: the status and headers are sent with the first event.
 func NewEvents(w http.ResponseWriter) *Events {
 	w.Header().Set(ContentType, TypeEvents)
 	w.Header().Set("Cache-Control", "no-store")
 	return &Events{w: w, control: http.NewResponseController(w)}
 }
 
-// Send writes one event. kind and id may be empty. The event is not flushed.
+// Send writes one event with v as JSON. kind and id may be empty. The event is not
+// flushed.
 func (e *Events) Send(kind, id string, v any) error {
 	data, err := json.Marshal(v)
 	if err != nil {
@@ -99,7 +102,7 @@
 	return e.SendText(kind, id, string(data))
 }
 
-// SendText is Send with data that is already text.
+// SendText is like Send for data that is already text.
 func (e *Events) SendText(kind, id, data string) error {
 	m := sse.Message{}
 	m.AppendData(data)
@@ -113,7 +116,7 @@
 	return err
 }
 
-// Alive writes a comment, which tells a reader only that the writer runs.
+// Alive writes a comment, which only shows the client that the server is alive.
 func (e *Events) Alive() error {
 	m := sse.Message{}
 	m.AppendComment("alive")
@@ -121,7 +124,7 @@
 	return err
 }
 
-// Flush sends what was written.
+// Flush sends buffered data to the client.
 func (e *Events) Flush() error {
 	return e.control.Flush()
 }
