--- a/internal/exchange/conn.go
+++ b/internal/exchange/conn.go
@@ -13,16 +13,17 @@
 
 const readBufferSize = 4 << 10
 
-// conn is one connection to a backend server. One goroutine uses it at a time.
+// conn is a connection to a backend server. Only one goroutine uses it at a time.
 type conn struct {
 	net.Conn
 	reader *bufio.Reader
-	// restedAt is when the connection was put back; expires is when the server
-	// may close it.
-	restedAt time.Time
-	expires  time.Time
-	// heard says that something has arrived since it was last taken.
-	heard bool
+	// idleSince is when the connection was returned to the pool, and expiresAt when the
+	// server may close it.
+	idleSince time.Time
+	expiresAt time.Time
+	// received reports whether any byte has arrived since the connection was last taken
+	// from the pool.
+	received bool
 }
 
 func newConn(c net.Conn) *conn {
@@ -31,18 +32,18 @@
 	return n
 }
 
-// Read notes that something has arrived.
+// Read reads from the connection and records whether a byte has arrived.
 func (c *conn) Read(buffer []byte) (int, error) {
 	n, err := c.Conn.Read(buffer)
 	if n > 0 {
-		c.heard = true
+		c.received = true
 	}
 	return n, err
 }
 
-// quiet reports whether nothing has arrived on a resting connection: no byte,
-// no close, no reset. Where the platform cannot tell, it says yes.
-func (c *conn) quiet() bool {
+// isQuiet reports whether nothing has arrived on an idle connection: no byte, no close and
+// no reset. It returns true if the platform cannot tell.
+func (c *conn) isQuiet() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -18,78 +18,76 @@
 )
 
 const (
-	// syncBody is up to how long a request is written before the answer is
-	// read. Longer ones are written beside it: the server may answer first, or
-	// not read at all.
-	syncBody = 2 << 10
-	// strayMost bounds the answers of other requests that are passed over on
-	// one connection, and strayBytes their length.
-	strayMost  = 2
-	strayBytes = 1 << 20
-	// silentAfter is how long a request must have waited in vain on a connection
-	// that had rested for others like it to be taken for silent: many times a
-	// server's usual answer.
-	silentAfter = 200 * time.Millisecond
+	// maxSyncRequest is the size up to which a request is written before the answer is
+	// read. Longer requests are written concurrently, because the server may answer before
+	// it has read the request, or not read it at all.
+	maxSyncRequest = 2 << 10
+	// maxStrayAnswers limits the number of answers to other requests that are skipped on
+	// one connection, and maxStrayBytes the length of each.
+	maxStrayAnswers = 2
+	maxStrayBytes   = 1 << 20
+	// silenceThreshold is how long a request must have waited on a reused connection
+	// without receiving a byte for the other idle connections to that server to be
+	// considered silent too. It is many times a server's usual response time.
+	silenceThreshold = 200 * time.Millisecond
 )
 
-// Call is one request to a backend server.
+// Call is a request to a backend server.
 type Call struct {
 	Address netip.AddrPort
 	Method  string
-	// Target is the path and query as they go into the request line.
+	// Target is the path and query as written to the request line.
 	Target string
 	Host   string
-	// Header must have neither Host, Content-Length nor Transfer-Encoding.
+	// Header must not contain Host, Content-Length or Transfer-Encoding.
 	Header http.Header
 	Body   []byte
-	// Fresh asks for a new connection: on one that rested, the server may just
-	// be closing, and then nobody knows whether the request ran.
+	// Fresh requires a new connection. The server may be about to close an idle one, and
+	// then it is unknown whether the request ran.
 	Fresh bool
-	// Mine reports whether an answer belongs to the request. An answer that
-	// does not is passed over: it is a late one of an earlier request. Nil
-	// takes any.
+	// Mine reports whether an answer belongs to the request. Other answers are skipped:
+	// they are late answers to earlier requests. If Mine is nil, any answer is accepted.
 	Mine func(status int, header http.Header) bool
 }
 
-// Answer is a backend server's answer. Its Body must be read to the end or
-// closed.
+// Answer is a backend server's answer. Its Body must be read to the end or closed.
 type Answer struct {
 	Status int
 	Header http.Header
-	// Length is the body's, -1 where it is not told.
+	// Length is the length of the body, or -1 if unknown.
 	Length int64
 	Body   io.ReadCloser
-	// Reused says that the connection had carried another request.
+	// Reused reports whether the connection had carried another request before.
 	Reused bool
 }
 
-// Do sends call once. The error is a *verdict.Error: NotRun where no byte can
-// have reached the server, Unknown otherwise. The end of ctx, also while the
-// body is read, closes the connection.
+// Do sends call once. The error is a *verdict.Error: NotRun if no byte can have reached
+// the server, Unknown otherwise. If ctx ends, even while the body is being read, the
+// connection is closed.
 func (p *Pool) Do(ctx context.Context, call Call) (*Answer, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, verdict.New(verdict.NotRun, verdict.ReasonConnection, "exchange: not sent to %s: %w", call.Address, err)
 	}
 	var c *conn
 	if !call.Fresh {
-		c = p.take(call.Address, time.Now())
+		c = p.takeIdle(call.Address, time.Now())
 	}
 	reused := c != nil
 	if c == nil {
 		var err error
-		if c, err = p.open(ctx, call.Address); err != nil {
+		if c, err = p.connect(ctx, call.Address); err != nil {
 			return nil, verdict.New(verdict.NotRun, verdict.ReasonConnection, "exchange: connect to %s: %w", call.Address, err)
 		}
 	}
 	began := time.Now()
-	c.heard = false
+	c.received = false
 	e := &exchange{pool: p, call: call, conn: c}
 	e.stop = context.AfterFunc(ctx, func() { _ = c.Close() })
-	answer, err := e.run()
+	answer, err := e.roundTrip()
 	if err != nil {
 		e.abandon()
-		if reused && !c.heard && ctx.Err() != nil && time.Since(began) >= silentAfter {
-			p.dropRested(call.Address, began)
+		if reused && !c.received && ctx.Err() != nil && time.Since(began) >= silenceThreshold {
+			p.closeIdleSince(call.Address, began)
 		}
 		return nil, err
 	}
@@ -97,37 +95,38 @@
 	return answer, nil
 }
 
-// exchange is one request under way on one connection.
+// exchange is a request in progress on a connection.
 type exchange struct {
 	pool *Pool
 	call Call
 	conn *conn
 	stop func() bool
-	// written gets the outcome of writing the request; nil once taken.
-	written chan error
-	// sent is set once the whole request was written.
+	// writeResult receives the result of writing the request; it is nil once that has been
+	// received.
+	writeResult chan error
+	// sent reports whether the whole request has been written.
 	sent bool
 }
 
-func (e *exchange) run() (*Answer, error) {
+func (e *exchange) roundTrip() (*Answer, error) {
 	request := e.encode()
-	if len(request) <= syncBody {
+	if len(request) <= maxSyncRequest {
 		n, err := e.conn.Write(request)
 		if err != nil {
 			return nil, sendError(n, err)
 		}
 		e.sent = true
 	} else {
-		e.written = make(chan error, 1)
+		e.writeResult = make(chan error, 1)
 		go func() {
 			n, err := e.conn.Write(request)
 			if err != nil {
 				err = sendError(n, err)
 			}
-			e.written <- err
+			e.writeResult <- err
 		}()
 	}
-	return e.read()
+	return e.readHead()
 }
 
 func sendError(n int, err error) error {
@@ -151,8 +150,8 @@
 	return b.Bytes()
 }
 
-// read reads the head of the request's own answer.
-func (e *exchange) read() (*Answer, error) {
+// readHead reads the head of the answer that belongs to the request.
+func (e *exchange) readHead() (*Answer, error) {
 	asked := &http.Request{Method: e.call.Method}
 	for stray := 0; ; {
 		response, err := http.ReadResponse(e.conn.reader, asked)
@@ -163,24 +162,24 @@
 			continue
 		}
 		if e.call.Mine == nil || e.call.Mine(response.StatusCode, response.Header) {
-			return e.answer(response), nil
+			return e.newAnswer(response), nil
 		}
-		if stray++; stray > strayMost || response.Close {
+		if stray++; stray > maxStrayAnswers || response.Close {
 			return nil, verdict.New(verdict.Unknown, verdict.ReasonBadAnswer, "exchange: answers of other requests")
 		}
-		if n, err := io.Copy(io.Discard, io.LimitReader(response.Body, strayBytes)); err != nil || n == strayBytes {
+		if n, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxStrayBytes)); err != nil || n == maxStrayBytes {
 			return nil, verdict.New(verdict.Unknown, verdict.ReasonBadAnswer, "exchange: another request's answer has no end")
 		}
 	}
 }
 
-// readError explains why no answer came. Where writing failed before the first
+// readError returns the error for a missing answer. If writing failed before the first
 // byte, nothing was sent.
 func (e *exchange) readError(err error) error {
 	_ = e.conn.Close()
-	if e.written != nil {
-		failed := <-e.written
-		e.written = nil
+	if e.writeResult != nil {
+		failed := <-e.writeResult
+		e.writeResult = nil
 		var v *verdict.Error
 		if errors.As(failed, &v) && v.Verdict == verdict.NotRun {
 			return v
@@ -189,20 +188,20 @@
 	return verdict.New(verdict.Unknown, verdict.ReasonConnection, "exchange: no answer: %w", err)
 }
 
-func (e *exchange) answer(response *http.Response) *Answer {
+func (e *exchange) newAnswer(response *http.Response) *Answer {
 	b := &body{exchange: e, reader: response.Body, header: response.Header}
 	b.reusable = !response.Close && (response.ContentLength >= 0 || len(response.TransferEncoding) > 0)
 	return &Answer{Status: response.StatusCode, Header: response.Header, Length: response.ContentLength, Body: b}
 }
 
-// whole reports whether the whole request was written by now.
-func (e *exchange) whole() bool {
-	if e.sent || e.written == nil {
+// requestWritten reports whether the whole request has been written by now.
+func (e *exchange) requestWritten() bool {
+	if e.sent || e.writeResult == nil {
 		return e.sent
 	}
 	select {
-	case err := <-e.written:
-		e.written = nil
+	case err := <-e.writeResult:
+		e.writeResult = nil
 		e.sent = err == nil
 	default:
 	}
@@ -214,7 +213,7 @@
 	_ = e.conn.Close()
 }
 
-// body reads an answer's body and lets the connection rest at its clean end.
+// body reads an answer's body and returns the connection to the pool at its clean end.
 type body struct {
 	exchange *exchange
 	reader   io.ReadCloser
@@ -223,9 +222,9 @@
 	done     bool
 }
 
-// Read reads on; at the end, the connection is put back where it can be used
-// again: the answer had a length, the request was read whole, and nothing
-// follows.
+// Read reads from the body. At its end, the connection is returned to the pool if it can
+// be reused: the end of the answer was marked by its length or chunked encoding, the
+// request was written whole, and no further data has arrived.
 func (b *body) Read(buffer []byte) (int, error) {
 	if b.done {
 		return 0, io.EOF
@@ -236,15 +235,15 @@
 	}
 	e := b.exchange
 	b.done = true
-	if !errors.Is(err, io.EOF) || !b.reusable || !e.whole() || e.conn.reader.Buffered() > 0 || !e.stop() {
+	if !errors.Is(err, io.EOF) || !b.reusable || !e.requestWritten() || e.conn.reader.Buffered() > 0 || !e.stop() {
 		e.abandon()
 		return n, err
 	}
-	e.pool.put(e.call.Address, e.conn, b.header, time.Now())
+	e.pool.putIdle(e.call.Address, e.conn, b.header, time.Now())
 	return n, err
 }
 
-// Close drops the connection unless the body was read to its end.
+// Close closes the connection unless the body was read to its end.
 func (b *body) Close() error {
 	if !b.done {
 		b.done = true
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -31,7 +31,8 @@
 	server = netip.MustParseAddrPort("10.0.0.2:80")
 )
 
-// serve answers each connection by do, which gets the requests' heads read.
+// serve runs a server that handles each connection with do. It returns a pool that
+// connects to the server, and the number of connections accepted.
 func serve(t *testing.T, do func(conn net.Conn, r *bufio.Reader)) (*exchange.Pool, *atomic.Int32) {
 	t.Helper()
 	network := memnet.New(nil)
@@ -70,7 +71,7 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-// request reads one request and returns its id, or false at the end.
+// request reads one request and returns its id, or false at the end of the connection.
 func request(r *bufio.Reader) (string, bool) {
 	in, err := http.ReadRequest(r)
 	if err != nil {
@@ -90,7 +91,7 @@
 	return string(body), err
 }
 
-func TestConnectionsAreKept(t *testing.T) {
+func TestConnectionsAreReused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		pool, opened := serve(t, func(conn net.Conn, r *bufio.Reader) {
 			for {
@@ -120,7 +121,7 @@
 	})
 }
 
-func TestLateAnswersOfOthersArePassedOver(t *testing.T) {
+func TestLateAnswersToOtherRequestsAreSkipped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		pool, opened := serve(t, func(conn net.Conn, r *bufio.Reader) {
 			for {
@@ -143,7 +144,7 @@
 	})
 }
 
-func TestWhatFollowsAnAnswerSpoilsItsConnection(t *testing.T) {
+func TestConnectionWithDataAfterAnswerIsNotReused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		pool, opened := serve(t, func(conn net.Conn, r *bufio.Reader) {
 			for {
@@ -163,7 +164,7 @@
 	})
 }
 
-func TestVerdicts(t *testing.T) {
+func TestVerdictOfBrokenAnswers(t *testing.T) {
 	for name, c := range map[string]struct {
 		do   func(conn net.Conn, r *bufio.Reader)
 		want verdict.Verdict
@@ -206,11 +207,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		pool := exchange.NewPool(memnet.New(nil).Dialer(caller))
 		_, err := read(t, pool, get("1"))
-		assert.Equal(t, verdict.Of(err), verdict.NotRun, "nobody listens")
+		assert.Equal(t, verdict.Of(err), verdict.NotRun, "nothing listens")
 	})
 }
 
-func TestACutBodyIsNoWholeBody(t *testing.T) {
+func TestTruncatedBodyIsAnError(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		pool, _ := serve(t, func(conn net.Conn, r *bufio.Reader) {
 			request(r)
@@ -222,45 +223,43 @@
 	})
 }
 
-// overNetwork is longer than what the network holds of one connection, in
-// bytes: a server that reads nothing can't have it written whole.
-const overNetwork = 8 << 20
+// overNetworkBuffer is more than the in-memory network buffers for one connection, in
+// bytes: a request of this size cannot be written whole to a server that does not read.
+const overNetworkBuffer = 8 << 20
 
-// A second request after an early answer had none: "no answer: io: read/write on
-// closed pipe", in 2 of 2,700 runs on a busy machine. A request of 1 MiB fits into
-// the network (some 4 MiB). Where it was written whole before the answer's end was
-// read, the connection was kept, the second request went there, and the
-// server, which read neither, closed a second later. The first answer was never
-// lost. The two orders have a test each since: here the request can't be
-// written whole.
-func TestAnEarlyAnswerToALongRequest(t *testing.T) {
+// The request is too long to be written whole, so the connection must not be reused after
+// the early answer. A request of 1 MiB would be too short: it fits into the network's
+// buffer of some 4 MiB, and if it is written whole before the end of the answer is read,
+// the connection is reused. If the server then closes it unread, the next request fails
+// with "io: read/write on closed pipe", which TestEarlyAnswerToBufferedRequest covers.
+func TestEarlyAnswerToPartlyWrittenRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		pool, opened := serve(t, func(conn net.Conn, _ *bufio.Reader) {
 			_, _ = io.WriteString(conn, answer("1", "too long"))
 			time.Sleep(time.Second)
 		})
 		call := get("1")
-		call.Method, call.Body = http.MethodPost, make([]byte, overNetwork)
+		call.Method, call.Body = http.MethodPost, make([]byte, overNetworkBuffer)
 		got, err := read(t, pool, call)
 		assert.NilError(t, err)
 		assert.Equal(t, got, "too long")
 		got, err = read(t, pool, call)
 		assert.NilError(t, err)
 		assert.Equal(t, got, "too long")
-		assert.Equal(t, opened.Load(), int32(2), "the rest of the first body is never taken for a request")
+		assert.Equal(t, opened.Load(), int32(2), "the rest of the first body must not be read as a request")
 		time.Sleep(2 * time.Second)
 	})
 }
 
-// The network holds the whole request before the server answers, without having
-// read it: as for any connection that is kept, the server may read on, or close
-// it with the next request unread.
-func TestAnAnswerToALongRequestThatTheNetworkHolds(t *testing.T) {
+// The network buffers the whole request, and the server answers before it has read it. As
+// on any kept connection, the server may then continue to read, or close the connection
+// with the next request unread.
+func TestEarlyAnswerToBufferedRequest(t *testing.T) {
 	for name, c := range map[string]struct {
 		// then is what the server does after its answer.
-		then func(conn net.Conn, r *bufio.Reader)
-		want string
-		told verdict.Verdict
+		then        func(conn net.Conn, r *bufio.Reader)
+		want        string
+		wantVerdict verdict.Verdict
 	}{
 		"the server reads on": {
 			then: func(conn net.Conn, r *bufio.Reader) {
@@ -269,18 +268,19 @@
 				}
 				_, _ = io.WriteString(conn, answer("1", "and again"))
 			},
-			want: "and again",
-			told: verdict.Ran,
+			want:        "and again",
+			wantVerdict: verdict.Ran,
 		},
 		"the server closes": {
-			then: func(net.Conn, *bufio.Reader) { time.Sleep(time.Second) },
-			told: verdict.Unknown,
+			then:        func(net.Conn, *bufio.Reader) { time.Sleep(time.Second) },
+			wantVerdict: verdict.Unknown,
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				pool, opened := serve(t, func(conn net.Conn, r *bufio.Reader) {
-					// All else rests before time passes: the request is written.
+					// Time advances only when all other goroutines are blocked: by then,
+					// the request has been written.
 					time.Sleep(time.Millisecond)
 					_, _ = io.WriteString(conn, answer("1", "early"))
 					c.then(conn, r)
@@ -291,16 +291,16 @@
 				assert.NilError(t, err, "the early answer")
 				assert.Equal(t, got, "early")
 				got, err = read(t, pool, call)
-				assert.Equal(t, verdict.Of(err), c.told, "%v", err)
+				assert.Equal(t, verdict.Of(err), c.wantVerdict, "%v", err)
 				assert.Equal(t, got, c.want)
-				assert.Equal(t, opened.Load(), int32(1), "written whole, so kept; sent once")
+				assert.Equal(t, opened.Load(), int32(1), "the connection is reused, and the request sent once")
 				time.Sleep(2 * time.Second)
 			})
 		})
 	}
 }
 
-func TestTheEndOfTheContextClosesTheConnection(t *testing.T) {
+func TestContextEndClosesConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		closed := make(chan time.Time, 1)
 		pool, _ := serve(t, func(_ net.Conn, r *bufio.Reader) {
@@ -317,9 +317,9 @@
 	})
 }
 
-// Four resting connections to a server fell silent while new ones worked. Each
-// was used by a request of its own, which waited in vain until it was given up.
-func TestRestingConnectionsThatAreSilentAreDroppedTogether(t *testing.T) {
+// When the idle connections to a server fell silent while new ones worked, each of the
+// four was tried by a request of its own, which waited in vain until it timed out.
+func TestSilentIdleConnectionsAreDroppedTogether(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := memnet.New(nil)
 		l, err := network.Listen(server)
@@ -334,8 +334,8 @@
 			pool.Close()
 			_ = s.Close()
 		}()
-		ask := func(id string, patience time.Duration) error {
-			ctx, cancel := context.WithTimeout(t.Context(), patience)
+		ask := func(id string, timeout time.Duration) error {
+			ctx, cancel := context.WithTimeout(t.Context(), timeout)
 			defer cancel()
 			a, err := pool.Do(ctx, get(id))
 			if err != nil {
@@ -360,8 +360,9 @@
 	})
 }
 
-// A server that is slow keeps the connections that were used meanwhile.
-func TestConnectionsThatWereUsedSinceAreKept(t *testing.T) {
+// If one request to a slow server times out, connections that were used in the meantime
+// are kept.
+func TestRecentlyUsedConnectionsAreKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := memnet.New(nil)
 		l, err := network.Listen(server)
--- a/internal/exchange/pool.go
+++ b/internal/exchange/pool.go
@@ -16,33 +16,33 @@
 	"time"
 )
 
-// Dial connects to an address given as IP number and port.
+// Dial connects to an address given as IP address and port.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
 const (
-	// connectFor bounds one connection attempt; the networks we run in have
-	// round trips of a few milliseconds, and a lost opening packet is sent
-	// again after a second.
-	connectFor = 1200 * time.Millisecond
-	// restDefault is how long a connection is kept where the server does not
-	// say how long it keeps it.
-	restDefault = 4 * time.Second
-	// restMost bounds what servers say.
-	restMost = 30 * time.Second
-	// restMargin is taken off what servers say, for the way and for their
-	// whole seconds.
-	restMargin = 700 * time.Millisecond
-	// idleMost bounds the resting connections for one address.
-	idleMost = 4
+	// connectTimeout limits one connection attempt. Round trips in the networks that the
+	// hosts run in take a few milliseconds, and a lost SYN packet is retransmitted after a
+	// second.
+	connectTimeout = 1200 * time.Millisecond
+	// defaultIdleTimeout is how long an idle connection is kept if the server does not
+	// announce its own timeout.
+	defaultIdleTimeout = 4 * time.Second
+	// maxIdleTimeout limits the timeout that a server announces.
+	maxIdleTimeout = 30 * time.Second
+	// idleTimeoutMargin is subtracted from the announced timeout, to allow for network
+	// latency and for the rounding to whole seconds.
+	idleTimeoutMargin = 700 * time.Millisecond
+	// maxIdlePerAddress limits the number of idle connections to one address.
+	maxIdlePerAddress = 4
 )
 
-// Pool keeps connections to backend servers. It is safe for concurrent use.
+// Pool keeps connections to backend servers for reuse. It is safe for concurrent use.
 type Pool struct {
 	dial Dial
 
 	mu sync.Mutex
-	// idle has the resting connections, the one used last at the end. No list
-	// is empty.
+	// idle holds the idle connections, the most recently used last. It contains no empty
+	// lists.
 	idle   map[netip.AddrPort][]*conn
 	opened int64
 	closed bool
@@ -53,14 +53,14 @@
 	return &Pool{dial: dial, idle: make(map[netip.AddrPort][]*conn)}
 }
 
-// Opened returns how many connections were opened.
+// Opened returns the number of connections opened so far.
 func (p *Pool) Opened() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.opened
 }
 
-// Close closes the resting connections and keeps no more.
+// Close closes the idle connections; after that, the pool keeps no connections.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -73,15 +73,15 @@
 	}
 }
 
-// Prune closes connections that have rested too long, and must be called about
-// once a second.
+// Prune closes connections whose idle timeout has expired. It must be called about once a
+// second.
 func (p *Pool) Prune(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for address, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if now.Before(c.expires) {
+			if now.Before(c.expiresAt) {
 				kept = append(kept, c)
 				continue
 			}
@@ -95,8 +95,8 @@
 	}
 }
 
-// Drop closes the resting connections to address, as when another server may
-// have it.
+// Drop closes the idle connections to an address, for example because another server may
+// have it now.
 func (p *Pool) Drop(address netip.AddrPort) {
 	p.mu.Lock()
 	list := p.idle[address]
@@ -107,15 +107,15 @@
 	}
 }
 
-// dropRested closes the connections to address that have rested since before a
-// moment: one like them has fallen silent, and the others may have with it. One
-// after another, they would each keep a request waiting in vain.
-func (p *Pool) dropRested(address netip.AddrPort, before time.Time) {
+// closeIdleSince closes the connections to an address that have been idle since before a
+// point in time. One such connection has fallen silent, so the others may have too; used
+// one after another, each would make a request wait in vain.
+func (p *Pool) closeIdleSince(address netip.AddrPort, before time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	kept := p.idle[address][:0]
 	for _, c := range p.idle[address] {
-		if c.restedAt.After(before) {
+		if c.idleSince.After(before) {
 			kept = append(kept, c)
 			continue
 		}
@@ -128,21 +128,21 @@
 	p.idle[address] = kept
 }
 
-// take returns a connection that rested and is quiet, or nil.
-func (p *Pool) take(address netip.AddrPort, now time.Time) *conn {
+// takeIdle returns an idle connection that is quiet, or nil.
+func (p *Pool) takeIdle(address netip.AddrPort, now time.Time) *conn {
 	for {
-		c := p.pop(address)
+		c := p.popIdle(address)
 		if c == nil {
 			return nil
 		}
-		if now.Before(c.expires) && c.quiet() {
+		if now.Before(c.expiresAt) && c.isQuiet() {
 			return c
 		}
 		_ = c.Close()
 	}
 }
 
-func (p *Pool) pop(address netip.AddrPort) *conn {
+func (p *Pool) popIdle(address netip.AddrPort) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[address]
@@ -159,18 +159,18 @@
 	return c
 }
 
-// Refuses reports whether nothing listens at an address: a server that was there has
-// ended.
+// Refuses reports whether nothing listens at an address, which means that a server that
+// was there has ended.
 func (p *Pool) Refuses(ctx context.Context, address netip.AddrPort) bool {
-	c, err := p.open(ctx, address)
+	c, err := p.connect(ctx, address)
 	if err == nil {
 		_ = c.Close()
 	}
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
-func (p *Pool) open(ctx context.Context, address netip.AddrPort) (*conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, connectFor)
+func (p *Pool) connect(ctx context.Context, address netip.AddrPort) (*conn, error) {
+	ctx, cancel := context.WithTimeout(ctx, connectTimeout)
 	defer cancel()
 	c, err := p.dial(ctx, "tcp", address.String())
 	if err != nil {
@@ -182,21 +182,22 @@
 	return newConn(c), nil
 }
 
-// put lets a connection rest after an answer with header.
-func (p *Pool) put(address netip.AddrPort, c *conn, header http.Header, now time.Time) {
-	c.restedAt = now
-	c.expires = now.Add(restFor(header))
+// putIdle returns a connection to the pool after an answer with the given header.
+func (p *Pool) putIdle(address netip.AddrPort, c *conn, header http.Header, now time.Time) {
+	c.idleSince = now
+	c.expiresAt = now.Add(idleTimeout(header))
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.closed || len(p.idle[address]) >= idleMost || !now.Before(c.expires) {
+	if p.closed || len(p.idle[address]) >= maxIdlePerAddress || !now.Before(c.expiresAt) {
 		_ = c.Close()
 		return
 	}
 	p.idle[address] = append(p.idle[address], c)
 }
 
-// restFor is how long a connection may rest after an answer with header.
-func restFor(header http.Header) time.Duration {
+// idleTimeout returns how long a connection may stay idle after an answer with the given
+// header.
+func idleTimeout(header http.Header) time.Duration {
 	for part := range strings.SplitSeq(header.Get("Keep-Alive"), ",") {
 		value, ok := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
 		if !ok {
@@ -206,7 +207,7 @@
 		if err != nil || seconds < 0 {
 			break
 		}
-		return min(time.Duration(seconds)*time.Second, restMost) - restMargin
+		return min(time.Duration(seconds)*time.Second, maxIdleTimeout) - idleTimeoutMargin
 	}
-	return restDefault
+	return defaultIdleTimeout
 }
