--- a/internal/peek/peek.go
+++ b/internal/peek/peek.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The Wingvale Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package peek looks at what has arrived on a connection without reading it.
+// Package peek inspects the receive state of a connection without reading from it.
 package peek
 
 import (
@@ -10,22 +10,24 @@
 	"syscall"
 )
 
-// State is what a connection that is not being read has waiting.
+// State is the receive state of a connection that is not being read.
 type State int
 
-// The states there are.
+// The possible states.
 const (
-	// Unknown is that of connections that do not tell.
+	// Unknown means that the connection cannot report its state.
 	Unknown State = iota
-	// Quiet has nothing waiting, and is open as far as this end knows.
+	// Quiet means that no data is pending, and the connection is open as far as this end
+	// knows.
 	Quiet
-	// Data has bytes waiting.
+	// Data means that unread bytes are pending.
 	Data
-	// Ended was closed or reset by the other end, and has nothing waiting.
+	// Ended means that the other end closed or reset the connection, and no data is
+	// pending.
 	Ended
 )
 
-// Peeker is a connection without a socket that tells its own state.
+// Peeker is a connection without a socket that reports its own state.
 type Peeker interface {
 	Peek() State
 }
@@ -44,14 +46,14 @@
 		return Ended
 	}
 	state := Ended
-	err = raw.Control(func(fd uintptr) { state = ofSocket(int(fd)) })
+	err = raw.Control(func(fd uintptr) { state = socketState(int(fd)) })
 	if err != nil {
 		return Ended
 	}
 	return state
 }
 
-func ofSocket(fd int) State {
+func socketState(fd int) State {
 	var one [1]byte
 	for {
 		n, _, err := syscall.Recvfrom(fd, one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
--- a/internal/peek/peek_test.go
+++ b/internal/peek/peek_test.go
@@ -12,7 +12,7 @@
 	"github.com/wingvale/wingvale/internal/peek"
 )
 
-// pair returns both ends of a connection over loopback.
+// pair returns both ends of a loopback connection.
 func pair(t *testing.T) (near, far net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -29,13 +29,13 @@
 	return near, far
 }
 
-// await reads one byte, or the end, so that what was sent has arrived.
+// await reads one byte, or the end, to make sure that what was sent has arrived.
 func await(c net.Conn) {
 	var one [1]byte
 	_, _ = c.Read(one[:])
 }
 
-func TestStates(t *testing.T) {
+func TestStateOfConnection(t *testing.T) {
 	near, far := pair(t)
 	assert.Equal(t, peek.Of(near), peek.Quiet)
 	_, err := far.Write([]byte("ab"))
@@ -53,7 +53,7 @@
 	assert.Equal(t, peek.Of(pipe), peek.Unknown)
 }
 
-func TestAResetIsAnEnd(t *testing.T) {
+func TestResetMeansEnded(t *testing.T) {
 	near, far := pair(t)
 	tcp, ok := far.(*net.TCPConn)
 	assert.Assert(t, ok)
