--- a/internal/dispatch/grant.go
+++ b/internal/dispatch/grant.go
@@ -14,19 +14,20 @@
 	"github.com/wingvale/wingvale/verdict"
 )
 
+// waiter is a task in the queue.
 type waiter struct {
-	task  Task
-	since time.Time
-	// grant holds one Grant at most.
+	task       Task
+	enqueuedAt time.Time
+	// grant has a buffer for the one Grant that the task may get.
 	grant chan *Grant
-	// gone says that nobody waits any more.
-	gone bool
+	// cancelled says that the caller has stopped waiting.
+	cancelled bool
 }
 
 // Grant is the right to make one call. Done must be called once.
 type Grant struct {
 	Server netip.AddrPort
-	// Instance is the run of the server that was chosen; empty if not known.
+	// Instance is the run of the chosen server, or empty if unknown.
 	Instance string
 	// Waited is how long the task was in the queue.
 	Waited time.Duration
@@ -35,22 +36,22 @@
 	server *server
 }
 
-// Acquire waits for a server. It fails with NotRun, once the task's latest
-// start has passed, the queue is full, or ctx ends.
+// Acquire waits for a server. It fails with verdict.NotRun if the task's latest start
+// passes, the queue is full, or ctx is done.
 func (p *Pool) Acquire(ctx context.Context, task Task) (*Grant, error) {
 	w, err := p.enqueue(task)
 	if err != nil {
 		return nil, err
 	}
-	late := time.NewTimer(time.Until(task.Latest))
-	defer late.Stop()
+	timer := time.NewTimer(time.Until(task.Latest))
+	defer timer.Stop()
 	select {
 	case g := <-w.grant:
 		return g, nil
-	case <-late.C:
-		return p.giveUp(w, verdict.New(verdict.NotRun, verdict.ReasonDeadline, "dispatch: no server in time"))
+	case <-timer.C:
+		return p.cancelWait(w, verdict.New(verdict.NotRun, verdict.ReasonDeadline, "dispatch: no server in time"))
 	case <-ctx.Done():
-		return p.giveUp(w, verdict.New(verdict.NotRun, verdict.ReasonCancelled, "dispatch: %w", context.Cause(ctx)))
+		return p.cancelWait(w, verdict.New(verdict.NotRun, verdict.ReasonCancelled, "dispatch: %w", context.Cause(ctx)))
 	}
 }
 
@@ -58,110 +59,118 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	lane := p.lanes[task.Model]
-	if lane == nil {
-		lane = queue.New[*waiter](p.options.Queue)
-		p.lanes[task.Model] = lane
+	modelQueue := p.modelQueues[task.Model]
+	if modelQueue == nil {
+		modelQueue = queue.New[*waiter](p.options.Queue)
+		p.modelQueues[task.Model] = modelQueue
 	}
-	if lane.Len() >= p.options.MaxWaiting {
-		return nil, verdict.New(verdict.NotRun, verdict.ReasonOverload, "dispatch: %d calls wait already", lane.Len())
+	if modelQueue.Len() >= p.options.MaxWaiting {
+		return nil, verdict.New(verdict.NotRun, verdict.ReasonOverload, "dispatch: %d calls wait already", modelQueue.Len())
 	}
-	w := &waiter{task: task, since: now, grant: make(chan *Grant, 1)}
-	lane.Push(w, task.Item)
+	w := &waiter{task: task, enqueuedAt: now, grant: make(chan *Grant, 1)}
+	modelQueue.Push(w, task.Item)
 	p.dispatch(now)
 	return w, nil
 }
 
-// giveUp takes a waiter out. A grant that came at the same moment is used.
-func (p *Pool) giveUp(w *waiter, err error) (*Grant, error) {
+// cancelWait marks w as cancelled and returns err, or returns the grant if one was given
+// at the same moment.
+func (p *Pool) cancelWait(w *waiter, err error) (*Grant, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	select {
 	case g := <-w.grant:
 		return g, nil
 	default:
-		w.gone = true
+		w.cancelled = true
 		return nil, err
 	}
 }
 
-// Outcome is how a call went.
+// Outcome describes how a call ended.
 type Outcome struct {
-	// Work is how long it took.
+	// Work is how long the call took.
 	Work time.Duration
-	// Expected is what calls of its kind take, and Low what they take
-	// undisturbed; 0 if not known.
+	// Expected is the mean duration of calls of this kind, and Low their duration on an
+	// idle server; 0 if unknown.
 	Expected time.Duration
 	Low      time.Duration
-	// Load is what the server reported with it.
+	// Load is the load report that came with the answer. It is valid only if Known is
+	// set.
 	Load  protocol.Load
 	Known bool
 	// Refused says that the server was full and did not start the call.
 	Refused bool
-	// Failed says that the server is to blame for a failure, and Unreachable
-	// that it could not be connected to.
+	// Failed says that the call failed because of the server, and Unreachable that no
+	// connection could be made.
 	Failed      bool
 	Unreachable bool
-	// Ignored says that nothing can be learned, as after a cancellation.
+	// Ignored says that the outcome is no evidence about the server, for example after
+	// a cancellation.
 	Ignored bool
 }
 
-// Done gives the server back.
+// Done ends the call, returns the server to the pool and records the outcome.
 func (g *Grant) Done(o Outcome) {
 	p, s := g.pool, g.server
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	busy := p.busy(now)
+	current := p.measureOccupancy(now)
 	s.inFlight--
 	p.inFlight--
 	if o.Known {
-		p.report(s, now, o.Load)
+		p.applyLoad(s, now, o.Load)
 	}
-	p.learn(s, o, now, busy)
+	p.recordOutcome(s, o, now, current)
 	p.dispatch(now)
 }
 
-// busy returns what the node has of the pool, and whether it could use more.
-func (p *Pool) busy(now time.Time) occupancy {
+// measureOccupancy returns the node's share of the pool and whether the node could use
+// more than that.
+func (p *Pool) measureOccupancy(now time.Time) occupancy {
 	o := occupancy{}
-	for _, s := range p.list {
+	for _, s := range p.active {
 		if p.usable(s, now, "") {
 			o.total += s.share()
 		}
 	}
-	o.busy = p.inFlight >= whole(busyShare*o.total)
-	for _, lane := range p.lanes {
-		o.busy = o.busy || lane.Len() > 0
+	o.busy = p.inFlight >= wholeCalls(busyThreshold*o.total)
+	for _, modelQueue := range p.modelQueues {
+		o.busy = o.busy || modelQueue.Len() > 0
 	}
 	return o
 }
 
+// occupancy is how much of the pool the node may use and uses.
 type occupancy struct {
+	// total is the sum of the node's shares of the usable servers, in calls.
 	total float64
-	busy  bool
+	// busy says that most of it is in use or that calls are waiting.
+	busy bool
 }
 
-func (p *Pool) learn(s *server, o Outcome, now time.Time, has occupancy) {
+// recordOutcome updates the health and the limit of s. The mutex must be held.
+func (p *Pool) recordOutcome(s *server, o Outcome, now time.Time, current occupancy) {
 	if o.Ignored {
 		return
 	}
 	if o.Failed {
-		s.failed(now, o.Unreachable)
+		s.recordFailure(now, o.Unreachable)
 		return
 	}
 	if !o.Refused {
-		s.succeeded()
+		s.recordSuccess()
 	}
-	sample := limit.Sample{Now: now, Work: o.Work, Low: o.Low, Mean: o.Expected, Refused: o.Refused, Busy: has.busy, Total: has.total}
+	sample := limit.Sample{Now: now, Work: o.Work, Low: o.Low, Mean: o.Expected, Refused: o.Refused, Busy: current.busy, Total: current.total}
 	if o.Known {
 		sample.Running, sample.Waiting, sample.Slots = o.Load.Running, o.Load.Waiting, o.Load.Slots
 	}
-	met := 0.0
+	overloaded := 0.0
 	if sample.Overloaded() {
-		met = 1
+		overloaded = 1
 	}
-	p.pressure += pressureGain * (met - p.pressure)
+	p.pressure += pressureSmoothing * (overloaded - p.pressure)
 	sample.Pressure = p.pressure
 	s.limit.Add(sample)
 }
--- a/internal/dispatch/pool.go
+++ b/internal/dispatch/pool.go
@@ -20,7 +20,7 @@
 	"github.com/wingvale/wingvale/internal/queue"
 )
 
-// Options are a Pool's settings; zero fields take the defaults.
+// Options configures a Pool. Zero fields take the defaults.
 type Options struct {
 	// Zone is the node's own availability zone.
 	Zone string
@@ -30,12 +30,14 @@
 	Queue queue.Policy
 	// Limit bounds the calls in flight at each server.
 	Limit limit.Options
-	// Far and Cold are what another zone and a missing prefix cost in time.
+	// Far is the extra time of a call to another availability zone, and Cold that of a
+	// call to a server that does not hold the prompt's prefix.
 	Far  time.Duration
 	Cold time.Duration
-	// MaxWaiting bounds the queue.
+	// MaxWaiting is the most calls that may wait in the queue of one model.
 	MaxWaiting int
-	// Seed makes the choices of nodes differ.
+	// Seed seeds the random choice between servers. It must differ between nodes so
+	// that they do not all choose the same server.
 	Seed uint64
 }
 
@@ -45,52 +47,56 @@
 	DefaultCold       = 20 * time.Millisecond
 	DefaultMaxWaiting = 10000
 	maxPrefixes       = 4096
-	maxHolders        = 16
-	// backgroundShare is the part of a pool's limit that background work may
-	// fill.
+	maxPrefixHolders  = 16
+	// backgroundShare is the share of a pool's limit that background work may fill.
 	backgroundShare = 0.75
-	pressureGain    = 0.1
-	// busyShare is the part of the limit in use from which it may grow.
-	busyShare = 0.75
+	// pressureSmoothing is the weight of one call in the moving average of pressure.
+	pressureSmoothing = 0.1
+	// busyThreshold is the share of the limit that must be in use before the limit may
+	// grow.
+	busyThreshold = 0.75
 )
 
-// Task is a call that wants a server.
+// Task is a call that needs a server.
 type Task struct {
 	queue.Item
-	// Model must be ready at the server; empty for pools and services.
+	// Model must be ready on the server. It is empty for pools and services.
 	Model string
-	// Prefix names the prompt's prefix; 0 is none.
+	// Prefix identifies the prompt's prefix; 0 means none.
 	Prefix uint64
-	// Avoid has servers to pass over where another is free.
+	// Avoid lists servers that are used only if no other server is free.
 	Avoid []netip.AddrPort
 }
 
-// Pool is one pool at one node. It is safe for concurrent use.
+// Pool queues and dispatches the calls of one node to one pool of backend servers. It
+// is safe for concurrent use.
 type Pool struct {
 	options Options
 
 	mu sync.Mutex
-	// servers has the pool's servers and those that left it with calls in
-	// flight; list has the former in order.
+	// servers holds the pool's servers by address; active holds them in the order of
+	// the server list.
 	servers map[netip.AddrPort]*server
-	list    []*server
-	// lanes has a queue for each model.
-	lanes map[string]*queue.Queue[*waiter]
+	active  []*server
+	// modelQueues holds the waiting tasks of each model.
+	modelQueues map[string]*queue.Queue[*waiter]
 	// inFlight is the sum over all servers.
 	inFlight int
-	// committed is the work that admitted requests will bring or have brought
-	// here and that has not started, by workspace.
-	committed map[string]*share
-	total     share
-	// pressure follows the share of calls that met a queue inside a server.
+	// committed is the work of admitted requests that has not started, by workspace.
+	// It includes work that has not arrived yet. totalCommitted is the sum.
+	committed      map[string]*commitment
+	totalCommitted commitment
+	// pressure is a moving average of the share of calls that had to queue inside a
+	// server.
 	pressure float64
-	// sharers is how many nodes use each server of the pool.
-	sharers int
-	// prefixes has the servers that hold a prompt's prefix, as far as cache
-	// events and answers have told. It may be wrong, which costs time only.
-	prefixes *lru.Cache[uint64, []netip.AddrPort]
-	random   *rand.Rand
-	scratch  []choose.Candidate
+	// nodesPerServer is how many nodes send calls to each server of the pool.
+	nodesPerServer int
+	// prefixHolders caches which servers hold a prompt's prefix, according to cache
+	// events and answers. A wrong entry only costs time.
+	prefixHolders *lru.Cache[uint64, []netip.AddrPort]
+	random        *rand.Rand
+	// candidates is reused by each dispatch; entry i describes active[i].
+	candidates []choose.Candidate
 }
 
 // New returns a pool without servers.
@@ -102,31 +108,32 @@
 	options.Cold = cmp.Or(options.Cold, DefaultCold)
 	options.MaxWaiting = cmp.Or(options.MaxWaiting, DefaultMaxWaiting)
 	// The size is a constant above 0, so New cannot fail.
-	prefixes, _ := lru.New[uint64, []netip.AddrPort](maxPrefixes)
+	prefixHolders, _ := lru.New[uint64, []netip.AddrPort](maxPrefixes)
 	return &Pool{
-		options:   options,
-		servers:   make(map[netip.AddrPort]*server),
-		lanes:     make(map[string]*queue.Queue[*waiter]),
-		committed: make(map[string]*share),
-		prefixes:  prefixes,
-		random:    rand.New(rand.NewPCG(options.Seed, options.Seed>>1)),
+		options:       options,
+		servers:       make(map[netip.AddrPort]*server),
+		modelQueues:   make(map[string]*queue.Queue[*waiter]),
+		committed:     make(map[string]*commitment),
+		prefixHolders: prefixHolders,
+		random:        rand.New(rand.NewPCG(options.Seed, options.Seed>>1)),
 	}
 }
 
-// SetSharers says how many nodes use each server of the pool. New servers start
-// with that share.
+// SetSharers sets how many nodes send calls to each server of the pool. The node's
+// limit at a server is set to its share of the server's slots whenever their number
+// changes.
 func (p *Pool) SetSharers(count int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.sharers = count
+	p.nodesPerServer = count
 }
 
-// SetServers replaces the pool's servers. What is known of one that stays is
-// kept; a new instance at the same address starts anew.
+// SetServers replaces the pool's servers. The state of a server that stays is kept; a
+// new instance at the same address starts with fresh state.
 func (p *Pool) SetServers(servers []Server) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.list = p.list[:0]
+	p.active = p.active[:0]
 	kept := make(map[netip.AddrPort]bool, len(servers))
 	for _, s := range servers {
 		known := p.servers[s.Address]
@@ -140,7 +147,7 @@
 			known.Instance = instance
 		}
 		kept[s.Address] = true
-		p.list = append(p.list, known)
+		p.active = append(p.active, known)
 	}
 	for address := range p.servers {
 		if !kept[address] {
@@ -150,7 +157,8 @@
 	p.dispatch(time.Now())
 }
 
-// Observe takes in a load report that did not come with an answer.
+// Observe records a load report that did not come with an answer. If models is not nil,
+// it replaces the set of models that are ready on the server.
 func (p *Pool) Observe(address netip.AddrPort, load protocol.Load, models map[string]bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -161,34 +169,35 @@
 	if models != nil {
 		s.models = models
 	}
-	p.report(s, time.Now(), load)
+	p.applyLoad(s, time.Now(), load)
 	p.dispatch(time.Now())
 }
 
-// Warm notes that a server holds a prompt's prefix, or that it does not.
+// Warm records whether a server holds a prompt's prefix.
 func (p *Pool) Warm(prefix uint64, address netip.AddrPort, warm bool) {
 	if prefix == 0 {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	holders, _ := p.prefixes.Get(prefix)
+	holders, _ := p.prefixHolders.Get(prefix)
 	i := slices.Index(holders, address)
 	switch {
 	case warm && i < 0:
-		// A copy: the old list may be read elsewhere.
+		// The old slice may be in use elsewhere, so append to a copy.
 		holders = append(slices.Clone(holders), address)
-		p.prefixes.Add(prefix, holders[max(len(holders)-maxHolders, 0):])
+		p.prefixHolders.Add(prefix, holders[max(len(holders)-maxPrefixHolders, 0):])
 	case !warm && i >= 0:
-		p.prefixes.Add(prefix, slices.Delete(slices.Clone(holders), i, i+1))
+		p.prefixHolders.Add(prefix, slices.Delete(slices.Clone(holders), i, i+1))
 	}
 }
 
-func (p *Pool) report(s *server, now time.Time, load protocol.Load) {
+// applyLoad stores a load report of s. The mutex must be held.
+func (p *Pool) applyLoad(s *server, now time.Time, load protocol.Load) {
 	if load.Slots > 0 && load.Slots != s.slots {
-		s.limit.Resize(load.Slots, p.sharers)
+		s.limit.Resize(load.Slots, p.nodesPerServer)
 	}
-	// The node's own calls are in the report too and are counted apart.
+	// The report includes the node's own calls, which are counted in inFlight.
 	s.reported = max(load.Running+load.Waiting-s.inFlight, 0)
 	s.slots = load.Slots
 	s.reportedAt = now
@@ -200,7 +209,8 @@
 	}
 }
 
-// Tick must be called a few times a second, so that ejected servers come back.
+// Tick dispatches waiting calls. It must be called a few times a second, so that calls
+// are sent to servers whose ejection has ended.
 func (p *Pool) Tick(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -208,66 +218,68 @@
 }
 
 func (p *Pool) usable(s *server, now time.Time, model string) bool {
-	return !s.Leaving && !s.ejected(now) && s.holds(model)
+	return !s.Leaving && !s.ejected(now) && s.hasModel(model)
 }
 
-// dispatch gives servers to waiting tasks while there are both.
+// dispatch grants servers to waiting tasks until one or the other runs out. The mutex
+// must be held.
 func (p *Pool) dispatch(now time.Time) {
-	for model, lane := range p.lanes {
-		for lane.Len() > 0 && p.dispatchOne(now, model, lane) {
+	for model, modelQueue := range p.modelQueues {
+		for modelQueue.Len() > 0 && p.dispatchNext(now, model, modelQueue) {
 			continue
 		}
 	}
 }
 
-func (p *Pool) dispatchOne(now time.Time, model string, lane *queue.Queue[*waiter]) bool {
-	total, free := p.collect(now, model)
-	if free == 0 || p.inFlight >= whole(total) {
+func (p *Pool) dispatchNext(now time.Time, model string, modelQueue *queue.Queue[*waiter]) bool {
+	total, free := p.collectCandidates(now, model)
+	if free == 0 || p.inFlight >= wholeCalls(total) {
 		return false
 	}
-	urgentOnly := p.options.Queue == queue.FairSlack && p.inFlight >= whole(backgroundShare*total)
-	w, ok := lane.Pop(urgentOnly)
+	urgentOnly := p.options.Queue == queue.FairSlack && p.inFlight >= wholeCalls(backgroundShare*total)
+	w, ok := modelQueue.Pop(urgentOnly)
 	if !ok {
 		return false
 	}
-	if w.gone {
+	if w.cancelled {
 		return true
 	}
 	s := p.choose(w.task)
 	p.inFlight++
 	s.inFlight++
 	s.served++
-	w.grant <- &Grant{Server: s.Address, Instance: s.Instance, Waited: now.Sub(w.since), pool: p, server: s}
+	w.grant <- &Grant{Server: s.Address, Instance: s.Instance, Waited: now.Sub(w.enqueuedAt), pool: p, server: s}
 	return true
 }
 
-// whole turns a share into calls: at least one, so that no node is shut out.
-func whole(share float64) int {
+// wholeCalls rounds a share to a number of calls. It is at least 1, so that every node
+// can send calls.
+func wholeCalls(share float64) int {
 	return max(int(math.Round(share)), 1)
 }
 
-// collect fills scratch with all candidates and returns the node's share of
-// those that are usable, and how many calls more they may take.
-func (p *Pool) collect(now time.Time, model string) (total float64, free int) {
-	p.scratch = p.scratch[:0]
-	ignoreEjection := p.belowFloor(now)
-	for _, s := range p.list {
+// collectCandidates fills p.candidates with all servers. It returns the node's share of
+// the usable ones and how many more calls they may take.
+func (p *Pool) collectCandidates(now time.Time, model string) (total float64, free int) {
+	p.candidates = p.candidates[:0]
+	ignoreEjection := p.mostlyEjected(now)
+	for _, s := range p.active {
 		c := s.candidate(now, p.options.Zone)
-		c.Usable = !s.Leaving && s.holds(model) && (ignoreEjection || !s.ejected(now))
+		c.Usable = !s.Leaving && s.hasModel(model) && (ignoreEjection || !s.ejected(now))
 		if c.Usable {
 			total += s.share()
 			free += max(c.Limit-c.InFlight, 0)
 		}
-		p.scratch = append(p.scratch, c)
+		p.candidates = append(p.candidates, c)
 	}
 	return total, free
 }
 
-// belowFloor reports whether so many servers are ejected that ejection must be
-// passed over: the fault is then more likely here or common to all.
-func (p *Pool) belowFloor(now time.Time) bool {
+// mostlyEjected reports whether so many servers are ejected that ejection must be
+// ignored: the fault is then more likely on this host or common to all servers.
+func (p *Pool) mostlyEjected(now time.Time) bool {
 	in, ejected := 0, 0
-	for _, s := range p.list {
+	for _, s := range p.active {
 		if s.Leaving {
 			continue
 		}
@@ -276,39 +288,40 @@
 			ejected++
 		}
 	}
-	return float64(in-ejected) < floor*float64(in)
+	return float64(in-ejected) < minActiveShare*float64(in)
 }
 
-// choose picks from scratch, in which at least one candidate is free.
+// choose picks a server from p.candidates, at least one of which must be free.
 func (p *Pool) choose(task Task) *server {
-	if holders, ok := p.prefixes.Get(task.Prefix); ok && task.Prefix != 0 {
-		for i, s := range p.list {
-			p.scratch[i].Warm = slices.Contains(holders, s.Address)
+	if holders, ok := p.prefixHolders.Get(task.Prefix); ok && task.Prefix != 0 {
+		for i, s := range p.active {
+			p.candidates[i].Warm = slices.Contains(holders, s.Address)
 		}
 	}
 	costs := choose.Costs{Work: task.Cost, Far: p.options.Far, Cold: p.options.Cold}
-	avoided := p.avoid(task.Avoid)
-	i := p.options.Choose(p.scratch, costs, p.random)
+	excluded := p.excludeAvoided(task.Avoid)
+	i := p.options.Choose(p.candidates, costs, p.random)
 	if i < 0 {
-		for _, a := range avoided {
-			p.scratch[a].Usable = true
+		for _, a := range excluded {
+			p.candidates[a].Usable = true
 		}
-		i = p.options.Choose(p.scratch, costs, p.random)
+		i = p.options.Choose(p.candidates, costs, p.random)
 	}
-	return p.list[i]
+	return p.active[i]
 }
 
-// avoid makes candidates unusable and returns which ones.
-func (p *Pool) avoid(addresses []netip.AddrPort) []int {
+// excludeAvoided marks the candidates at the given addresses as unusable and returns
+// their indices.
+func (p *Pool) excludeAvoided(addresses []netip.AddrPort) []int {
 	if len(addresses) == 0 {
 		return nil
 	}
-	var avoided []int
-	for i, s := range p.list {
-		if p.scratch[i].Usable && slices.Contains(addresses, s.Address) {
-			p.scratch[i].Usable = false
-			avoided = append(avoided, i)
+	var excluded []int
+	for i, s := range p.active {
+		if p.candidates[i].Usable && slices.Contains(addresses, s.Address) {
+			p.candidates[i].Usable = false
+			excluded = append(excluded, i)
 		}
 	}
-	return avoided
+	return excluded
 }
--- a/internal/dispatch/pool_test.go
+++ b/internal/dispatch/pool_test.go
@@ -27,11 +27,11 @@
 
 func newPool(servers int, perServer float64) *dispatch.Pool {
 	p := dispatch.New(dispatch.Options{Zone: "a", Limit: limit.Options{Initial: perServer, Fixed: true}})
-	p.SetServers(list(servers))
+	p.SetServers(serverList(servers))
 	return p
 }
 
-func list(servers int) []dispatch.Server {
+func serverList(servers int) []dispatch.Server {
 	var all []dispatch.Server
 	for _, a := range addresses[:servers] {
 		all = append(all, dispatch.Server{Address: a, Zone: "a"})
@@ -45,16 +45,16 @@
 	return t
 }
 
-func TestWhatCannotStartInTimeIsDroppedAsNotRun(t *testing.T) {
+func TestAcquireFailsWithNotRunAfterLatestStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPool(1, 1)
 		g, err := p.Acquire(t.Context(), task(time.Hour))
 		assert.NilError(t, err)
-		begin := time.Now()
+		began := time.Now()
 		_, err = p.Acquire(t.Context(), task(3*time.Second))
 		assert.Equal(t, verdict.Of(err), verdict.NotRun)
 		assert.Equal(t, verdict.As(err).Reason, verdict.ReasonDeadline)
-		assert.Equal(t, time.Since(begin), 3*time.Second, "the caller is told at once")
+		assert.Equal(t, time.Since(began), 3*time.Second, "must fail as soon as the latest start has passed")
 		g.Done(dispatch.Outcome{})
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
@@ -65,8 +65,8 @@
 	})
 }
 
-// fail makes one call that fails and returns the server.
-func fail(t *testing.T, p *dispatch.Pool, o dispatch.Outcome) netip.AddrPort {
+// failCall makes one call that fails and returns its server.
+func failCall(t *testing.T, p *dispatch.Pool, o dispatch.Outcome) netip.AddrPort {
 	t.Helper()
 	g, err := p.Acquire(t.Context(), task(time.Hour))
 	assert.NilError(t, err)
@@ -75,7 +75,7 @@
 	return g.Server
 }
 
-func ejected(p *dispatch.Pool) int {
+func countEjected(p *dispatch.Pool) int {
 	count := 0
 	for _, s := range p.State(10).Servers {
 		if s.Ejected {
@@ -85,35 +85,35 @@
 	return count
 }
 
-func TestUnreachableServersAreTakenOutAtOnceAndTriedAgain(t *testing.T) {
+func TestUnreachableServerIsEjectedAtOnceAndRetriedLater(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPool(4, 4)
-		bad := fail(t, p, dispatch.Outcome{Unreachable: true})
-		assert.Equal(t, ejected(p), 1)
+		unreachable := failCall(t, p, dispatch.Outcome{Unreachable: true})
+		assert.Equal(t, countEjected(p), 1)
 		for range 50 {
 			g, err := p.Acquire(t.Context(), task(time.Hour))
 			assert.NilError(t, err)
-			assert.Assert(t, g.Server != bad)
+			assert.Assert(t, g.Server != unreachable)
 			g.Done(dispatch.Outcome{})
 		}
 		time.Sleep(2 * time.Second)
-		assert.Equal(t, ejected(p), 0)
-		tried := false
+		assert.Equal(t, countEjected(p), 0)
+		retried := false
 		for range 50 {
 			g, err := p.Acquire(t.Context(), task(time.Hour))
 			assert.NilError(t, err)
-			tried = tried || g.Server == bad
+			retried = retried || g.Server == unreachable
 			g.Done(dispatch.Outcome{})
 		}
-		assert.Assert(t, tried)
+		assert.Assert(t, retried)
 	})
 }
 
-func TestThePoolNeverEjectsItself(t *testing.T) {
+func TestEjectionIsIgnoredWhenMostServersAreEjected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPool(4, 4)
 		for range 20 {
-			fail(t, p, dispatch.Outcome{Unreachable: true})
+			failCall(t, p, dispatch.Outcome{Unreachable: true})
 		}
 		g, err := p.Acquire(t.Context(), task(time.Second))
 		assert.NilError(t, err, "with most servers ejected, ejection is passed over")
@@ -122,7 +122,7 @@
 	})
 }
 
-func TestALeavingServerGetsNoGrant(t *testing.T) {
+func TestLeavingServerGetsNoGrant(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPool(2, 4)
 		p.Observe(addresses[0], protocol.Load{Instance: "x", Slots: 4, Leaving: true}, nil)
@@ -135,31 +135,31 @@
 	})
 }
 
-func TestWarmServersArePreferredUntilTheyAreBusy(t *testing.T) {
+func TestServerHoldingPrefixIsPreferred(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPool(4, 4)
 		p.Warm(7, addresses[2], true)
-		quick := task(time.Hour)
-		quick.Prefix, quick.Cost = 7, 10*time.Millisecond
-		g, err := p.Acquire(t.Context(), quick)
+		shortTask := task(time.Hour)
+		shortTask.Prefix, shortTask.Cost = 7, 10*time.Millisecond
+		g, err := p.Acquire(t.Context(), shortTask)
 		assert.NilError(t, err)
 		assert.Equal(t, g.Server, addresses[2])
 		g.Done(dispatch.Outcome{})
 		p.Warm(7, addresses[2], false)
-		others := 0
+		elsewhere := 0
 		for range 40 {
-			g, err := p.Acquire(t.Context(), quick)
+			g, err := p.Acquire(t.Context(), shortTask)
 			assert.NilError(t, err)
 			if g.Server != addresses[2] {
-				others++
+				elsewhere++
 			}
 			g.Done(dispatch.Outcome{})
 		}
-		assert.Assert(t, others > 10, "got %d of 40 at other servers", others)
+		assert.Assert(t, elsewhere > 10, "got %d of 40 at other servers", elsewhere)
 	})
 }
 
-func TestForecastGivesEachWorkspaceItsShare(t *testing.T) {
+func TestPredictGivesEachWorkspaceItsFairShare(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPool(1, 1)
 		g, err := p.Acquire(t.Context(), task(time.Hour))
--- a/internal/dispatch/server.go
+++ b/internal/dispatch/server.go
@@ -12,43 +12,47 @@
 	"github.com/wingvale/wingvale/internal/limit"
 )
 
-// Server is a backend server as the host list and the fleet view have it.
+// Server is a backend server according to the server list and the fleet view.
 type Server struct {
 	Address  netip.AddrPort
 	Zone     string
 	Instance string
-	// Leaving says that it must get no new call.
+	// Leaving says that the server must get no new calls.
 	Leaving bool
 }
 
 const (
-	// failuresToEject in a row take a server out.
+	// failuresToEject is how many consecutive failures eject a server. The first
+	// ejection lasts initialEjection; each further one lasts twice as long, up to
+	// maxEjection.
 	failuresToEject = 3
-	ejectFirst      = time.Second
-	ejectMost       = 30 * time.Second
-	// floor is the share of a pool's servers that stay in whatever happens.
-	floor = 0.5
+	initialEjection = time.Second
+	maxEjection     = 30 * time.Second
+	// minActiveShare is the share of a pool's servers below which ejections are ignored.
+	minActiveShare = 0.5
 )
 
-// server is what the node knows of a backend server.
+// server is the node's state of one backend server.
 type server struct {
 	Server
 	limit    *limit.Limit
 	inFlight int
-	// reported, slots and reportedAt are of the last report.
+	// reported is how many calls of other nodes the last load report counted. slots and
+	// reportedAt are also from that report.
 	reported   int
 	slots      int
 	reportedAt time.Time
-	// failures counts failures in a row, and ejections how often in a row the
-	// server was taken out.
-	failures  int
-	ejections int
-	// until is when an ejected server may be tried again.
-	until time.Time
-	// probing limits a server that was ejected to one call until it succeeds.
+	// consecutiveFailures counts failures since the last success or ejection, and
+	// consecutiveEjections counts ejections since the last success.
+	consecutiveFailures  int
+	consecutiveEjections int
+	// ejectedUntil is when an ejected server may be tried again.
+	ejectedUntil time.Time
+	// probing limits a server that was ejected to one call at a time until one succeeds.
 	probing bool
-	// models are the ones that an engine holds ready; nil is not known.
+	// models is the set of models that are ready on an engine; nil if unknown.
 	models map[string]bool
+	// served counts the calls granted.
 	served int
 }
 
@@ -57,14 +61,15 @@
 }
 
 func (s *server) ejected(now time.Time) bool {
-	return now.Before(s.until)
+	return now.Before(s.ejectedUntil)
 }
 
-func (s *server) holds(model string) bool {
+func (s *server) hasModel(model string) bool {
 	return model == "" || s.models == nil || s.models[model]
 }
 
-// share is the node's part of the server, which may be less than one call.
+// share returns how many calls the node may have in flight at the server. It may be
+// less than 1.
 func (s *server) share() float64 {
 	if s.probing {
 		return min(s.limit.Value(), 1)
@@ -72,34 +77,34 @@
 	return s.limit.Value()
 }
 
-// allowed returns how many calls may be in flight there at once.
-func (s *server) allowed() int {
+// maxInFlight returns share rounded up to whole calls.
+func (s *server) maxInFlight() int {
 	return int(math.Ceil(s.share()))
 }
 
-// failed notes a failure. One that could not even be connected to is taken out
-// at once: it looks idle, and would draw one call after the other.
-func (s *server) failed(now time.Time, unreachable bool) {
-	s.failures++
-	if s.failures < failuresToEject && !s.probing && !unreachable {
+// recordFailure counts a failure and ejects the server after failuresToEject of them. An
+// unreachable server is ejected at once: it appears idle and would attract every call.
+func (s *server) recordFailure(now time.Time, unreachable bool) {
+	s.consecutiveFailures++
+	if s.consecutiveFailures < failuresToEject && !s.probing && !unreachable {
 		return
 	}
-	s.until = now.Add(min(ejectFirst<<min(s.ejections, 5), ejectMost))
-	s.ejections++
-	s.failures = 0
+	s.ejectedUntil = now.Add(min(initialEjection<<min(s.consecutiveEjections, 5), maxEjection))
+	s.consecutiveEjections++
+	s.consecutiveFailures = 0
 	s.probing = true
 }
 
-func (s *server) succeeded() {
-	s.failures, s.ejections = 0, 0
+func (s *server) recordSuccess() {
+	s.consecutiveFailures, s.consecutiveEjections = 0, 0
 	s.probing = false
-	s.until = time.Time{}
+	s.ejectedUntil = time.Time{}
 }
 
 func (s *server) candidate(now time.Time, zone string) choose.Candidate {
 	return choose.Candidate{
 		InFlight: s.inFlight,
-		Limit:    s.allowed(),
+		Limit:    s.maxInFlight(),
 		Reported: s.reported,
 		Slots:    s.slots,
 		Age:      now.Sub(s.reportedAt),
--- a/internal/dispatch/state.go
+++ b/internal/dispatch/state.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// ServerState is what the dump shows of one server.
+// ServerState is the state of one server in the diagnostic dump.
 type ServerState struct {
 	Address  netip.AddrPort `json:"address"`
 	Zone     string         `json:"zone"`
@@ -24,7 +24,7 @@
 	Models   []string       `json:"models,omitempty"`
 }
 
-// State is what the dump shows of a pool.
+// State is the state of a pool in the diagnostic dump.
 type State struct {
 	Waiting   int           `json:"waiting"`
 	InFlight  int           `json:"in_flight"`
@@ -32,16 +32,16 @@
 	Servers   []ServerState `json:"servers"`
 }
 
-// State returns at most limit servers.
+// State returns the state of the pool with at most limit of its servers.
 func (p *Pool) State(limit int) State {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	state := State{InFlight: p.inFlight, Committed: p.total.work}
-	for _, lane := range p.lanes {
-		state.Waiting += lane.Len()
+	state := State{InFlight: p.inFlight, Committed: p.totalCommitted.work}
+	for _, modelQueue := range p.modelQueues {
+		state.Waiting += modelQueue.Len()
 	}
-	for _, s := range p.list[:min(limit, len(p.list))] {
+	for _, s := range p.active[:min(limit, len(p.active))] {
 		state.Servers = append(state.Servers, ServerState{
 			Address:  s.Address,
 			Zone:     s.Zone,
