--- a/internal/stagepool/backlog.go
+++ b/internal/stagepool/backlog.go
@@ -15,37 +15,36 @@
 )
 
 const (
-	// backlogFor is how long what a pool said of its waiting work is believed:
-	// a few calls.
-	backlogFor = 1500 * time.Millisecond
-	// backlogsMost bounds the backlogs in one message, the newest first.
-	backlogsMost = 16
+	// backlogTTL is how long a reported backlog is used. It is the time of a few calls.
+	backlogTTL = 1500 * time.Millisecond
+	// maxBacklogs is the most backlogs in one message; the newest are sent.
+	maxBacklogs = 16
 )
 
-// Backlog is what the owner of a shard's servers last said of them.
+// Backlog is the load of a shard's servers as last reported by the shard's owner.
 type Backlog struct {
-	// Waits is how long new work that can be in time waits there.
+	// Waits is how long new work that can still meet its deadline waits at the shard.
 	Waits stageplan.Queue
-	// Call is how long a call takes.
+	// Call is how long one call takes.
 	Call time.Duration
-	// At is when it held, by this host's clock.
+	// At is when the backlog was measured, by this host's clock.
 	At time.Time
 }
 
-// backlogs has the newest backlog of each shard that is known of. Owners hear
-// those of other pools from the hosts that ask them and pass them on, so that a
-// host which asks seldom still knows of all pools. It is safe for concurrent use.
-type backlogs struct {
+// backlogCache holds the newest known backlog of each shard. Hosts exchange backlogs with
+// the owners that they call, and owners forward those of other pools, so that a host that
+// makes few calls still knows the backlog of every pool. It is safe for concurrent use.
+type backlogCache struct {
 	mu      sync.Mutex
 	byShard map[string]Backlog
 }
 
-func newBacklogs() *backlogs {
-	return &backlogs{byShard: make(map[string]Backlog)}
+func newBacklogCache() *backlogCache {
+	return &backlogCache{byShard: make(map[string]Backlog)}
 }
 
-// note takes a backlog in unless a newer one is known.
-func (b *backlogs) note(shard string, backlog Backlog) {
+// store stores a backlog unless a newer one is known.
+func (b *backlogCache) store(shard string, backlog Backlog) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if known, ok := b.byShard[shard]; ok && known.At.After(backlog.At) {
@@ -54,22 +53,24 @@
 	b.byShard[shard] = backlog
 }
 
-// of returns the backlog of a shard, and reports whether it is still believed.
-func (b *backlogs) of(shard string) (Backlog, bool) {
+// lookup returns the newest backlog of a shard, and reports whether it is younger than
+// backlogTTL.
+func (b *backlogCache) lookup(shard string) (Backlog, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	backlog, ok := b.byShard[shard]
-	return backlog, ok && time.Since(backlog.At) <= backlogFor
+	return backlog, ok && time.Since(backlog.At) <= backlogTTL
 }
 
-// messages returns the backlogs that are still believed, and forgets the rest.
-func (b *backlogs) messages(now time.Time) []*stagepb.Backlog {
+// messages returns up to maxBacklogs backlogs, the newest first, and removes the expired
+// ones.
+func (b *backlogCache) messages(now time.Time) []*stagepb.Backlog {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var messages []*stagepb.Backlog
 	for shard, backlog := range b.byShard {
 		age := now.Sub(backlog.At)
-		if age > backlogFor {
+		if age > backlogTTL {
 			delete(b.byShard, shard)
 			continue
 		}
@@ -80,28 +81,27 @@
 		messages = append(messages, m)
 	}
 	slices.SortFunc(messages, func(a, b *stagepb.Backlog) int { return cmp.Compare(a.GetAgeMs(), b.GetAgeMs()) })
-	return messages[:min(len(messages), backlogsMost)]
+	return messages[:min(len(messages), maxBacklogs)]
 }
 
-// take takes in what another host knows.
-func (b *backlogs) take(now time.Time, messages []*stagepb.Backlog) {
-	for _, m := range messages[:min(len(messages), backlogsMost)] {
+// merge stores the backlogs that another host sent.
+func (b *backlogCache) merge(now time.Time, messages []*stagepb.Backlog) {
+	for _, m := range messages[:min(len(messages), maxBacklogs)] {
 		backlog := Backlog{Call: milliseconds(m.GetCallMs()), At: now.Add(-milliseconds(m.GetAgeMs()))}
 		for i, wait := range m.GetWaitsMs()[:min(len(m.GetWaitsMs()), len(backlog.Waits))] {
 			backlog.Waits[i] = milliseconds(wait)
 		}
-		b.note(m.GetShard(), backlog)
+		b.store(m.GetShard(), backlog)
 	}
 }
 
-// milliseconds reads a time from a message; there are none below 0.
+// milliseconds converts a duration in a message. A negative count is read as 0.
 func milliseconds(count int64) time.Duration {
 	return time.Duration(max(count, 0)) * time.Millisecond
 }
 
-// Backlog returns what is known of a service's servers; where they are split
-// over shards, the mean of those that are known of. It reports false where
-// nothing recent is known.
+// Backlog returns the backlog of a service's servers, averaged over the shards with a
+// recent report. It reports false if there is no recent report.
 func (g *Group) Backlog(service string) (Backlog, bool) {
 	g.mu.Lock()
 	shards := g.shardsOf(service)
@@ -109,7 +109,7 @@
 	var sum Backlog
 	known := time.Duration(0)
 	for _, shard := range shards {
-		if backlog, ok := g.backlogs.of(shard); ok {
+		if backlog, ok := g.backlogs.lookup(shard); ok {
 			for i, wait := range backlog.Waits {
 				sum.Waits[i] += wait
 			}
@@ -128,16 +128,16 @@
 
 // shardsOf returns the names of a service's shards. The mutex must be held.
 func (g *Group) shardsOf(service string) []string {
-	if of := g.services[service]; of != nil {
-		return of.shards
+	if svc := g.services[service]; svc != nil {
+		return svc.shards
 	}
 	return []string{service}
 }
 
-// refresh notes the backlog of one of this host's own pools.
-func (g *Group) refresh(shard string, pool *Pool) Backlog {
-	waits, call := pool.times()
+// updateBacklog stores and returns the current backlog of a pool that this host owns.
+func (g *Group) updateBacklog(shard string, pool *Pool) Backlog {
+	waits, call := pool.estimates()
 	backlog := Backlog{Waits: waits, Call: call, At: time.Now()}
-	g.backlogs.note(shard, backlog)
+	g.backlogs.store(shard, backlog)
 	return backlog
 }
--- a/internal/stagepool/backlog_test.go
+++ b/internal/stagepool/backlog_test.go
@@ -17,51 +17,52 @@
 	"github.com/wingvale/wingvale/internal/stagepool"
 )
 
-func TestTheNewestBacklogIsBelievedForAWhile(t *testing.T) {
+func TestBacklogCacheKeepsNewestUntilItExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		mine, other := stagepool.NewBacklogs(), stagepool.NewBacklogs()
-		mine.Note("read", 300*time.Millisecond, time.Now())
+		own, other := stagepool.NewBacklogs(), stagepool.NewBacklogs()
+		own.Store("read", 300*time.Millisecond, time.Now())
 		time.Sleep(100 * time.Millisecond)
-		other.Note("read", 500*time.Millisecond, time.Now())
-		other.Tell(mine)
-		got, ok := mine.Wait("read")
+		other.Store("read", 500*time.Millisecond, time.Now())
+		other.SendTo(own)
+		got, ok := own.Wait("read")
 		assert.Assert(t, ok && got == 500*time.Millisecond, "got %v", got)
-		mine.Note("read", time.Second, time.Now().Add(-time.Millisecond))
-		got, _ = mine.Wait("read")
-		assert.Equal(t, got, 500*time.Millisecond, "an older one is not taken")
+		own.Store("read", time.Second, time.Now().Add(-time.Millisecond))
+		got, _ = own.Wait("read")
+		assert.Equal(t, got, 500*time.Millisecond, "an older backlog must not replace a newer one")
 		time.Sleep(2 * time.Second)
-		_, ok = mine.Wait("read")
+		_, ok = own.Wait("read")
 		assert.Assert(t, !ok, "too old")
 	})
 }
 
-func TestAnBacklogThatIsPassedOnKeepsItsAge(t *testing.T) {
+func TestForwardedBacklogKeepsItsAge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		first, second := stagepool.NewBacklogs(), stagepool.NewBacklogs()
-		first.Note("read", time.Second, time.Now())
+		first.Store("read", time.Second, time.Now())
 		for range 20 {
 			time.Sleep(100 * time.Millisecond)
-			first.Tell(second)
-			second.Tell(first)
+			first.SendTo(second)
+			second.SendTo(first)
 		}
 		_, ok := second.Wait("read")
 		assert.Assert(t, !ok, "two hosts keep an old backlog alive")
 	})
 }
 
-func TestAMessageHasABoundedNumberOfBacklogs(t *testing.T) {
-	mine, other := stagepool.NewBacklogs(), stagepool.NewBacklogs()
+func TestMessageHasBoundedNumberOfBacklogs(t *testing.T) {
+	own, other := stagepool.NewBacklogs(), stagepool.NewBacklogs()
 	for i := range 40 {
-		mine.Note(fmt.Sprint(i), time.Second, time.Now().Add(-time.Duration(i)*time.Millisecond))
+		own.Store(fmt.Sprint(i), time.Second, time.Now().Add(-time.Duration(i)*time.Millisecond))
 	}
-	mine.Tell(other)
+	own.SendTo(other)
 	_, newest := other.Wait("0")
 	_, oldest := other.Wait("39")
 	assert.Assert(t, newest && !oldest)
 }
 
-// A host that asks for one pool hears of the others from its owner.
-func TestOwnersPassOnWhatTheyHearOfOtherPools(t *testing.T) {
+// Owners forward the backlogs of other pools, so that a host knows the backlog of a pool that
+// it has never called.
+func TestOwnersForwardBacklogsOfOtherPools(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
--- a/internal/stagepool/export_test.go
+++ b/internal/stagepool/export_test.go
@@ -9,50 +9,50 @@
 	"github.com/wingvale/wingvale/internal/stageplan"
 )
 
-// Backlogs is what one host knows of all pools.
-type Backlogs struct{ o *backlogs }
+// Backlogs is the backlog cache of one host.
+type Backlogs struct{ cache *backlogCache }
 
-// NewBacklogs returns what a host knows that heard of none.
-func NewBacklogs() Backlogs { return Backlogs{o: newBacklogs()} }
+// NewBacklogs returns an empty cache.
+func NewBacklogs() Backlogs { return Backlogs{cache: newBacklogCache()} }
 
-// Note takes an backlog in.
-func (o Backlogs) Note(shard string, wait time.Duration, at time.Time) {
+// Store stores a backlog with the given wait, measured at the given time.
+func (b Backlogs) Store(shard string, wait time.Duration, at time.Time) {
 	var waits stageplan.Queue
 	for i := range waits {
 		waits[i] = wait
 	}
-	o.o.note(shard, Backlog{Waits: waits, At: at})
+	b.cache.store(shard, Backlog{Waits: waits, At: at})
 }
 
-// Tell passes all on to another host.
-func (o Backlogs) Tell(other Backlogs) { other.o.take(time.Now(), o.o.messages(time.Now())) }
+// SendTo merges the backlogs into the cache of another host.
+func (b Backlogs) SendTo(other Backlogs) { other.cache.merge(time.Now(), b.cache.messages(time.Now())) }
 
-// Wait returns the wait at a shard, and whether it is believed.
-func (o Backlogs) Wait(shard string) (time.Duration, bool) {
-	backlog, ok := o.o.of(shard)
+// Wait returns the wait at a shard, and whether it has not expired.
+func (b Backlogs) Wait(shard string) (time.Duration, bool) {
+	backlog, ok := b.cache.lookup(shard)
 	return backlog.Waits.Longest(), ok
 }
 
-// ShardSize is about the most servers of a shard.
+// ShardSize is about the most servers in a shard.
 const ShardSize = shardSize
 
-// Shards returns the servers of each shard of a service, by its name.
+// Shards divides the servers of a service and returns those of each shard by its name.
 func Shards(service string, servers []stageplan.Server) map[string][]stageplan.Server {
-	of := newServiceServers(service)
+	svc := newServiceServers(service)
 	for _, s := range servers {
-		of.put(s)
+		svc.put(s)
 	}
-	of.divide(service)
+	svc.updateShards(service)
 	shards := make(map[string][]stageplan.Server)
-	for _, name := range of.shards {
-		shards[name] = of.servers(shardNamed(name))
+	for _, name := range svc.shards {
+		shards[name] = svc.servers(parseShard(name))
 	}
 	return shards
 }
 
-// ShardOf returns the shard for work.
+// ShardOf returns the name of the shard that is to run w.
 func (g *Group) ShardOf(w stageplan.Work) string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.shard(w)
+	return g.shardFor(w)
 }
--- a/internal/stagepool/group.go
+++ b/internal/stagepool/group.go
@@ -21,14 +21,14 @@
 	"github.com/wingvale/wingvale/internal/stagepool/stagepb"
 )
 
-// Options are a Group's dependencies; all are needed.
+// Options holds the dependencies of a Group. All are required except Rest.
 type Options struct {
-	// Self is this host.
+	// Self is the address of this host.
 	Self   netip.AddrPort
 	Owners *owner.Finder
 	Driver Driver
-	// Rest returns for how long a server wants nothing from this host; nil is that none
-	// tells.
+	// Rest returns for how long a server has asked this host to send it nothing. If nil,
+	// no server has.
 	Rest  func(instance string) time.Duration
 	HTTP  *http.Client
 	Log   logrus.FieldLogger
@@ -36,37 +36,38 @@
 }
 
 const (
-	// aliveAfter is when a host that does not answer is asked whether it works,
-	// and aliveEvery how often it is asked again: about one call.
-	aliveAfter = 200 * time.Millisecond
-	aliveEvery = 300 * time.Millisecond
-	aliveFor   = 150 * time.Millisecond
-	// ownersTried bounds how many hosts are asked before this one acts itself.
-	ownersTried = 2
-	// zoneWait is how much longer work waits in its zone before it leaves it,
-	// about one call.
-	zoneWait = 250 * time.Millisecond
+	// A host that has not answered after livenessDelay is sent a liveness check every
+	// livenessInterval, about the time of one call. A check that gets no answer within
+	// livenessTimeout has failed.
+	livenessDelay    = 200 * time.Millisecond
+	livenessInterval = 300 * time.Millisecond
+	livenessTimeout  = 150 * time.Millisecond
+	// maxOwnersTried is how many hosts are tried before this host does the work itself.
+	maxOwnersTried = 2
+	// crossZoneMargin is how much longer the wait in the zone of the work must be than in
+	// another zone before the work is sent there. It is about the time of one call.
+	crossZoneMargin = 250 * time.Millisecond
 )
 
-var errSilent = errors.New("stagepool: the owner does not answer")
+var errOwnerUnresponsive = errors.New("stagepool: pool owner failed the liveness check")
 
-// Group has the pools of all services and finds their owners. It is safe for
-// concurrent use.
+// Group runs stage work of all services, in this host's pools or at the hosts that own
+// the servers. It is safe for concurrent use.
 type Group struct {
 	options Options
 	ctx     context.Context
 
 	mu sync.Mutex
-	// pools has those of this host, by shard.
+	// pools holds the pools of this host by shard name.
 	pools map[string]*Pool
 	specs map[string]stageplan.Spec
-	// services has the servers of each.
+	// services holds the servers of each service.
 	services map[string]*serviceServers
-	// backlogs has a mutex of its own.
-	backlogs *backlogs
+	// backlogs is not guarded by mu; it has its own mutex.
+	backlogs *backlogCache
 }
 
-// New returns a group whose calls end with ctx.
+// New returns a group without services. Its calls are cancelled when ctx is done.
 func New(ctx context.Context, options Options) *Group {
 	if options.Rest == nil {
 		options.Rest = func(string) time.Duration { return 0 }
@@ -77,7 +78,7 @@
 		pools:    make(map[string]*Pool),
 		specs:    make(map[string]stageplan.Spec),
 		services: make(map[string]*serviceServers),
-		backlogs: newBacklogs(),
+		backlogs: newBacklogCache(),
 	}
 }
 
@@ -88,74 +89,75 @@
 	g.specs = specs
 	clear(g.services)
 	for service, list := range servers {
-		of := newServiceServers(service)
+		svc := newServiceServers(service)
 		for _, server := range list {
-			of.put(server)
+			svc.put(server)
 		}
-		of.divide(service)
-		g.services[service] = of
+		svc.updateShards(service)
+		g.services[service] = svc
 	}
 	for name, pool := range g.pools {
-		g.configure(pool, shardNamed(name))
+		g.configure(pool, parseShard(name))
 	}
 }
 
-// Change takes in which servers of the services were added, changed and removed.
+// Change applies the addition, change and removal of servers.
 func (g *Group) Change(changes []listed.Change[stageplan.Server]) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	// Zones of each service whose servers changed.
-	touched := make(map[string]map[string]bool)
+	// changedZones holds the zones in which servers changed, by service.
+	changedZones := make(map[string]map[string]bool)
 	for _, c := range changes {
-		of := g.services[c.Service]
-		if of == nil {
-			of = newServiceServers(c.Service)
-			g.services[c.Service] = of
+		svc := g.services[c.Service]
+		if svc == nil {
+			svc = newServiceServers(c.Service)
+			g.services[c.Service] = svc
 		}
-		if touched[c.Service] == nil {
-			touched[c.Service] = make(map[string]bool)
+		if changedZones[c.Service] == nil {
+			changedZones[c.Service] = make(map[string]bool)
 		}
-		for _, zone := range of.change(c) {
-			touched[c.Service][zone] = true
+		for _, zone := range svc.apply(c) {
+			changedZones[c.Service][zone] = true
 		}
 	}
-	for service := range touched {
-		g.services[service].divide(service)
+	for service := range changedZones {
+		g.services[service].updateShards(service)
 	}
 	for name, pool := range g.pools {
-		if s := shardNamed(name); touched[s.service] != nil && (s.zone == "" || touched[s.service][s.zone]) {
+		if s := parseShard(name); changedZones[s.service] != nil && (s.zone == "" || changedZones[s.service][s.zone]) {
 			g.configure(pool, s)
 		}
 	}
 }
 
-// configure brings one of this host's pools in line with its shard. The mutex must be
-// held.
+// configure updates the specification and the servers of a pool of this host. The mutex
+// must be held.
 func (g *Group) configure(pool *Pool, s shard) {
 	spec, ok := g.specs[s.service]
 	if !ok {
 		spec = pool.scheduler.Spec()
 	}
 	var servers []stageplan.Server
-	if of := g.services[s.service]; of != nil {
-		servers = of.servers(s)
+	if svc := g.services[s.service]; svc != nil {
+		servers = svc.servers(s)
 	}
 	pool.configure(spec, servers)
 }
 
-// wait is how long new work waits at a shard, as far as is known.
-func (g *Group) wait(shard string) time.Duration {
-	backlog, _ := g.backlogs.of(shard)
+// expectedWait returns the last reported wait of new work at a shard, or 0 if none is known.
+func (g *Group) expectedWait(shard string) time.Duration {
+	backlog, _ := g.backlogs.lookup(shard)
 	return backlog.Waits.Longest()
 }
 
-// pool returns this host's pool of a shard, or nil for an unknown service.
-func (g *Group) pool(name string) *Pool {
+// localPool returns this host's pool of a shard and creates it if needed. It returns nil
+// for an unknown service.
+func (g *Group) localPool(name string) *Pool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	s := shardNamed(name)
-	if of := g.services[s.service]; of != nil {
-		s = of.known(s)
+	s := parseShard(name)
+	if svc := g.services[s.service]; svc != nil {
+		s = svc.resolve(s)
 		name = s.String()
 	}
 	if p := g.pools[name]; p != nil {
@@ -171,24 +173,24 @@
 	return p
 }
 
-// Answer is what Run returns.
+// Answer is the result of Run.
 type Answer struct {
 	Results []stageplan.Result
 	Failure stageplan.Failure
-	// Wait is how long new work waits at the pool; 0 is not known.
+	// Wait is how long new work waits at the pool; 0 if unknown.
 	Wait time.Duration
-	// Owner is the host that made the calls.
+	// Owner is the host that sent the calls to the servers.
 	Owner netip.AddrPort
 }
 
-// Run makes the pieces of w, at the owner of its pool or the next host that
-// answers, and in the end by this host itself.
+// Run executes the pieces of w through the owner of its shard. If the owner fails, Run
+// tries the next host in the ranking, and finally sends the calls from this host.
 func (g *Group) Run(ctx context.Context, w stageplan.Work) Answer {
 	g.mu.Lock()
-	shard := g.shard(w)
+	shard := g.shardFor(w)
 	g.mu.Unlock()
-	for _, p := range g.options.Owners.Others(shard, ownersTried) {
-		answer, err := g.ask(ctx, p, shard, w)
+	for _, p := range g.options.Owners.Others(shard, maxOwnersTried) {
+		answer, err := g.runAtPeer(ctx, p, shard, w)
 		if err == nil {
 			return answer
 		}
@@ -200,58 +202,59 @@
 		g.options.Log.WithError(err).WithFields(logrus.Fields{"peer": p.Address, "pool": shard, "request": w.Request}).
 			Warn("the owner of a stage pool failed; asking the next")
 	}
-	return g.runHere(ctx, shard, w)
+	return g.runLocally(ctx, shard, w)
 }
 
-func (g *Group) runHere(ctx context.Context, shard string, w stageplan.Work) Answer {
-	pool := g.pool(shard)
+func (g *Group) runLocally(ctx context.Context, shard string, w stageplan.Work) Answer {
+	pool := g.localPool(shard)
 	if pool == nil {
 		return Answer{Failure: stageplan.FailureFailed}
 	}
 	results, failure := pool.run(ctx, w)
-	return Answer{Results: results, Failure: failure, Wait: g.refresh(shard, pool).Waits.Longest(), Owner: g.options.Self}
+	return Answer{Results: results, Failure: failure, Wait: g.updateBacklog(shard, pool).Waits.Longest(), Owner: g.options.Self}
 }
 
-// ask hands w to another host, and gives up on it when it stands still.
-func (g *Group) ask(ctx context.Context, p owner.Peer, shard string, w stageplan.Work) (Answer, error) {
+// runAtPeer runs w through another host. It fails if that host stops responding to
+// liveness checks.
+func (g *Group) runAtPeer(ctx context.Context, p owner.Peer, shard string, w stageplan.Work) (Answer, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	client := stagepb.NewStagesProtobufClient("http://"+p.Control.String(), g.options.HTTP)
-	watch := time.AfterFunc(aliveAfter, func() { g.watch(ctx, client, cancel) })
-	defer watch.Stop()
+	livenessTimer := time.AfterFunc(livenessDelay, func() { g.watchLiveness(ctx, client, cancel) })
+	defer livenessTimer.Stop()
 	request := requestMessage(time.Now(), shard, w)
 	request.Backlogs = g.backlogs.messages(time.Now())
 	reply, err := client.Run(peerhttp.Patient(ctx), request)
 	if err != nil {
 		return Answer{}, err
 	}
-	g.backlogs.take(time.Now(), reply.GetBacklogs())
-	results, err := resultsOf(reply.GetResults())
+	g.backlogs.merge(time.Now(), reply.GetBacklogs())
+	results, err := resultsFromMessages(reply.GetResults())
 	if err != nil {
 		return Answer{}, err
 	}
 	if reply.GetFailure() == "" && len(results) != len(w.Pieces) {
-		return Answer{}, errors.New("stagepool: the owner answered with too few results")
+		return Answer{}, errors.New("stagepool: pool owner returned too few results")
 	}
 	return Answer{
 		Results: results,
 		Failure: stageplan.Failure(reply.GetFailure()),
-		Wait:    g.wait(shard),
+		Wait:    g.expectedWait(shard),
 		Owner:   p.Address,
 	}, nil
 }
 
-// watch cancels a question whose host stands still.
-func (g *Group) watch(ctx context.Context, client stagepb.Stages, cancel context.CancelCauseFunc) {
+// watchLiveness sends liveness checks until ctx is done, and cancels the call if one fails.
+func (g *Group) watchLiveness(ctx context.Context, client stagepb.Stages, cancel context.CancelCauseFunc) {
 	for ctx.Err() == nil {
-		alive, stop := context.WithTimeout(ctx, aliveFor)
+		alive, stop := context.WithTimeout(ctx, livenessTimeout)
 		_, err := client.Alive(alive, &stagepb.AliveRequest{})
 		stop()
 		if err != nil && ctx.Err() == nil {
-			cancel(errSilent)
+			cancel(errOwnerUnresponsive)
 			return
 		}
-		timer := time.NewTimer(aliveEvery)
+		timer := time.NewTimer(livenessInterval)
 		select {
 		case <-ctx.Done():
 			timer.Stop()
@@ -260,15 +263,15 @@
 	}
 }
 
-// Release gives up results of a service, by the host that owns their servers.
+// Release frees results of a service through the hosts that own their servers.
 func (g *Group) Release(service string, results []stageplan.Result) {
 	byShard := make(map[string][]stageplan.Result)
 	g.mu.Lock()
-	of := g.services[service]
+	svc := g.services[service]
 	for _, r := range results {
 		name := service
-		if of != nil {
-			name = of.holding(service, r.Zone, r.Server).String()
+		if svc != nil {
+			name = svc.shardOfServer(service, r.Zone, r.Server).String()
 		}
 		byShard[name] = append(byShard[name], r)
 	}
@@ -279,22 +282,22 @@
 }
 
 func (g *Group) releaseShard(shard string, results []stageplan.Result) {
-	for _, p := range g.options.Owners.Others(shard, ownersTried) {
-		ctx, cancel := context.WithTimeout(g.ctx, freeFor)
+	for _, p := range g.options.Owners.Others(shard, maxOwnersTried) {
+		ctx, cancel := context.WithTimeout(g.ctx, freeTimeout)
 		client := stagepb.NewStagesProtobufClient("http://"+p.Control.String(), g.options.HTTP)
 		_, err := client.Release(ctx, &stagepb.ReleaseRequest{Service: shard, Results: resultMessages(results)})
 		cancel()
 		if err == nil {
 			return
 		}
-		g.options.Log.WithError(err).WithField("peer", p.Address).Debug("the owner did not take results back")
+		g.options.Log.WithError(err).WithField("peer", p.Address).Debug("releasing results through the pool owner failed")
 	}
-	if pool := g.pool(shard); pool != nil {
+	if pool := g.localPool(shard); pool != nil {
 		pool.release(results)
 	}
 }
 
-// State returns what the dump shows of this host's pools.
+// State returns the state of this host's pools by shard, for the diagnostic dump.
 func (g *Group) State() map[string]State {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/stagepool/group_test.go
+++ b/internal/stagepool/group_test.go
@@ -47,29 +47,31 @@
 	return w
 }
 
-// fleet is some hosts whose messages go straight to each other's handlers.
+// fleet is a set of hosts whose messages go directly to each other's handlers, and the
+// driver of their stage servers.
 type fleet struct {
 	mu     sync.Mutex
 	groups map[string]http.Handler
-	// still are hosts that take messages and never answer.
-	still map[string]bool
-	calls map[string]int
-	freed []string
-	peers []owner.Peer
-	// queue is how many calls a server takes, and busy how many it has; the
-	// rest are told that it is full. 0 is any number.
+	// unresponsive is the set of hosts that accept messages and never answer.
+	unresponsive map[string]bool
+	calls        map[string]int
+	freed        []string
+	peers        []owner.Peer
+	// queue is how many calls a server accepts at once, 0 for any number, and busy how many
+	// it has. It refuses further calls as full, which full counts.
 	queue int
 	busy  map[string]int
 	full  int
-	turns map[string]chan struct{}
+	// executing holds a semaphore for each server, which executes one call at a time.
+	executing map[string]chan struct{}
 }
 
-// RoundTrip hands a message over.
+// RoundTrip delivers a message to the handler of its host.
 func (f *fleet) RoundTrip(r *http.Request) (*http.Response, error) {
 	f.mu.Lock()
-	h, still := f.groups[r.URL.Host], f.still[r.URL.Host]
+	h, unresponsive := f.groups[r.URL.Host], f.unresponsive[r.URL.Host]
 	f.mu.Unlock()
-	if still {
+	if unresponsive {
 		<-r.Context().Done()
 		return nil, r.Context().Err()
 	}
@@ -88,7 +90,7 @@
 func (r *recorder) Write(part []byte) (int, error) { return r.body.Write(part) }
 func (r *recorder) WriteHeader(status int)         { r.status = status }
 
-// RunBatch makes all pieces in the time of a call.
+// RunBatch executes all pieces in the time of one call.
 func (f *fleet) RunBatch(_ context.Context, s stageplan.Server, items []stageplan.Item) ([]stageplan.Outcome, error) {
 	if f.queue > 0 && !f.enter(s) {
 		time.Sleep(time.Millisecond)
@@ -105,7 +107,7 @@
 	return outcomes, nil
 }
 
-// enter takes a place at a server and reports whether there was one.
+// enter reserves one of the server's places for a call, and reports whether one was free.
 func (f *fleet) enter(s stageplan.Server) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -117,17 +119,18 @@
 	return true
 }
 
-// work lasts for a call; where places are counted, calls go one after another.
+// work sleeps for the time of a call. If places are limited, the calls of a server run one
+// after another.
 func (f *fleet) work(s stageplan.Server, pieces int) {
 	if f.queue == 0 {
 		time.Sleep(spec.CallTime)
 		return
 	}
 	f.mu.Lock()
-	turn := f.turns[s.Instance]
+	turn := f.executing[s.Instance]
 	if turn == nil {
 		turn = make(chan struct{}, 1)
-		f.turns[s.Instance] = turn
+		f.executing[s.Instance] = turn
 	}
 	f.mu.Unlock()
 	turn <- struct{}{}
@@ -138,7 +141,7 @@
 	f.busy[s.Instance]--
 }
 
-// Free notes what is given up.
+// Free records the handles of freed results.
 func (f *fleet) Free(_ context.Context, _ stageplan.Server, handles []string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -147,7 +150,7 @@
 }
 
 func newFleet(ctx context.Context, hosts int, servers ...stageplan.Server) (*fleet, []*stagepool.Group) {
-	f := &fleet{groups: make(map[string]http.Handler), still: make(map[string]bool), calls: make(map[string]int), busy: make(map[string]int), turns: make(map[string]chan struct{})}
+	f := &fleet{groups: make(map[string]http.Handler), unresponsive: make(map[string]bool), calls: make(map[string]int), busy: make(map[string]int), executing: make(map[string]chan struct{})}
 	for i := range hosts {
 		address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, 0, byte(i + 1)}), 1)
 		f.peers = append(f.peers, owner.Peer{Address: address, Control: netip.AddrPortFrom(address.Addr(), 2)})
@@ -162,7 +165,7 @@
 	return f, groups
 }
 
-// newGroup returns the group of one host among peers.
+// newGroup returns the group of the host self among peers.
 func newGroup(ctx context.Context, peers []owner.Peer, self owner.Peer, driver stagepool.Driver, transport http.RoundTripper) *stagepool.Group {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -180,7 +183,7 @@
 	return g.Run(ctx, w)
 }
 
-func TestPiecesOfAllHostsShareCalls(t *testing.T) {
+func TestCallsBatchPiecesOfAllHosts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -198,29 +201,29 @@
 	})
 }
 
-func TestAnOwnerThatStandsStillIsPassedOver(t *testing.T) {
+func TestRunFallsBackWhenOwnerStopsResponding(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		f, groups := newFleet(ctx, 3, server(1, "a"))
 		owner := ask(ctx, groups[0], "x", "").Owner
-		asker := groups[0]
+		caller := groups[0]
 		for i, p := range f.peers {
 			if p.Address == owner {
-				f.still[p.Control.String()] = true
-				asker = groups[(i+1)%len(groups)]
+				f.unresponsive[p.Control.String()] = true
+				caller = groups[(i+1)%len(groups)]
 			}
 		}
 		began := time.Now()
-		answer := ask(ctx, asker, "y", "")
+		answer := ask(ctx, caller, "y", "")
 		assert.Equal(t, answer.Failure, stageplan.Failure(""))
 		assert.Assert(t, time.Since(began) < 800*time.Millisecond, "took %v", time.Since(began))
 		cancel()
 	})
 }
 
-// Work without a zone went to a pool of its own that had
-// the servers of all zones: their calls then met those of the zones' owners.
+// Work without a zone must not be run by a separate pool with the servers of all zones, as
+// its calls would collide at the servers with those of the zones' owners.
 func TestEachServerHasOneOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -251,9 +254,8 @@
 	})
 }
 
-// Small inputs tied work to the zone with the fewest
-// servers.
-func TestWorkWithoutAZoneGoesWhereItWaitsLess(t *testing.T) {
+// Work without a zone must not all be sent to the zone with the fewest servers.
+func TestWorkWithoutZoneIsSpreadByCapacity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -277,17 +279,17 @@
 	})
 }
 
-// With links full of other traffic, 6,899 of 15,127 calls found their server full:
-// hosts took a pool's owner for gone and sent calls themselves, all to the same
-// servers. Each piece was sent again every 40 ms, and failed after four times.
-func TestHostsThatDoNotReachEachOtherShareServers(t *testing.T) {
+// When links are saturated, hosts consider a pool's owner failed and send calls themselves.
+// If all choose the same servers, many calls are refused as full (6,899 of 15,127 in one
+// run), and a piece that is retried every 40 ms fails after four attempts.
+func TestPartitionedHostsShareServers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		f, groups := newFleet(ctx, 6, server(1, "a"), server(2, "a"))
 		f.queue = 3
 		for _, p := range f.peers {
-			f.still[p.Control.String()] = true
+			f.unresponsive[p.Control.String()] = true
 		}
 		var all sync.WaitGroup
 		var mu sync.Mutex
--- a/internal/stagepool/pool.go
+++ b/internal/stagepool/pool.go
@@ -16,67 +16,69 @@
 	"github.com/wingvale/wingvale/verdict"
 )
 
-// Driver speaks to stage servers.
+// Driver sends calls to stage servers.
 type Driver interface {
-	// RunBatch sends one call and returns an outcome for each item. Its error
-	// bears a verdict; ReasonRefused says that the server was full.
+	// RunBatch sends one call and returns an outcome for each item. Its error carries a
+	// verdict; verdict.ReasonRefused means that the server was full.
 	RunBatch(ctx context.Context, server stageplan.Server, items []stageplan.Item) ([]stageplan.Outcome, error)
-	// Free gives up results of one server.
+	// Free frees results that one server holds.
 	Free(ctx context.Context, server stageplan.Server, handles []string) error
 }
 
 const (
-	// callMost bounds one call, whatever its server says: no stage is of use
-	// after that.
-	callMost = 5 * time.Second
-	// freeDelay gathers results to give up in one call; freeFor bounds it.
-	freeDelay = 15 * time.Millisecond
-	freeFor   = time.Second
-	// tellAfter is from which wait on the state of a pool is logged, at most
-	// each tellEvery.
-	tellAfter = 500 * time.Millisecond
-	tellEvery = time.Second
-	// recheck is how soon servers whose calls are overdue are looked at again.
-	recheck = 50 * time.Millisecond
+	// maxCallTime is the timeout of one call, whatever time its server is expected to
+	// need: no stage result is useful after that.
+	maxCallTime = 5 * time.Second
+	// freeDelay is how long results are collected so that one call frees them together.
+	// freeTimeout is the timeout of that call.
+	freeDelay   = 15 * time.Millisecond
+	freeTimeout = time.Second
+	// longWait is the age of the oldest waiting work from which the state of the pool is
+	// logged, at most once per longWaitLogInterval.
+	longWait            = 500 * time.Millisecond
+	longWaitLogInterval = time.Second
+	// recheckInterval is the interval between checks for overdue calls.
+	recheckInterval = 50 * time.Millisecond
 )
 
-// callTimes are the buckets of the histogram of calls: 20 ms to 5 s.
-var callTimes = tally.MustMakeExponentialDurationBuckets(20*time.Millisecond, 1.6, 13)
+// callTimeBuckets are the buckets of the histogram of call durations, 20 ms to 5 s.
+var callTimeBuckets = tally.MustMakeExponentialDurationBuckets(20*time.Millisecond, 1.6, 13)
 
-// Pool owns the servers of one service. It is safe for concurrent use.
+// Pool schedules work on the servers of one shard of a service. It is safe for concurrent
+// use.
 type Pool struct {
 	driver Driver
 	log    logrus.FieldLogger
 	scope  tally.Scope
 	ctx    context.Context
 
-	// rest returns for how long a server wants nothing from this host.
+	// rest returns for how long a server has asked this host to send it nothing.
 	rest func(instance string) time.Duration
 
 	mu        sync.Mutex
 	scheduler *stageplan.Scheduler
-	// cancels ends each call under way.
+	// cancels holds the cancel function of each call in flight.
 	cancels map[*stageplan.Call]context.CancelFunc
-	// timed says that a later look is under way.
-	timed bool
-	// freeing has the results to give up next, by server.
-	freeing map[netip.AddrPort][]string
-	calls   sync.WaitGroup
-	// toldAt is when long waits were last logged.
-	toldAt time.Time
+	// recheckPending says that a timer will call dispatch.
+	recheckPending bool
+	// pendingFree holds the handles of the results to free next, by server.
+	pendingFree map[netip.AddrPort][]string
+	calls       sync.WaitGroup
+	// longWaitLoggedAt is when a long wait was last logged.
+	longWaitLoggedAt time.Time
 }
 
-// newPool returns a pool whose calls end with ctx.
+// newPool returns a pool without servers. Its calls are cancelled when ctx is done.
 func newPool(ctx context.Context, spec stageplan.Spec, options Options) *Pool {
 	return &Pool{
-		driver:    options.Driver,
-		log:       options.Log.WithField("pool", spec.Service),
-		scope:     options.Scope,
-		ctx:       ctx,
-		rest:      options.Rest,
-		cancels:   make(map[*stageplan.Call]context.CancelFunc),
-		scheduler: stageplan.New(spec, options.Rest),
-		freeing:   make(map[netip.AddrPort][]string),
+		driver:      options.Driver,
+		log:         options.Log.WithField("pool", spec.Service),
+		scope:       options.Scope,
+		ctx:         ctx,
+		rest:        options.Rest,
+		cancels:     make(map[*stageplan.Call]context.CancelFunc),
+		scheduler:   stageplan.New(spec, options.Rest),
+		pendingFree: make(map[netip.AddrPort][]string),
 	}
 }
 
@@ -84,179 +86,183 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.scheduler.Configure(spec, servers)
-	p.kick()
+	p.dispatch()
 }
 
-// times returns how long new work waits, and how long calls take, roughly.
-func (p *Pool) times() (waits stageplan.Queue, call time.Duration) {
+// estimates returns the estimated wait of new work and the estimated time of a call.
+func (p *Pool) estimates() (waits stageplan.Queue, call time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.scheduler.Queue(time.Now()), p.scheduler.CallTime()
 }
 
-// run makes the pieces of w and returns a result for each, or why there is
-// none.
+// run executes the pieces of w and returns a result for each piece, or the reason of the
+// failure.
 func (p *Pool) run(ctx context.Context, w stageplan.Work) ([]stageplan.Result, stageplan.Failure) {
 	p.mu.Lock()
 	t := p.scheduler.Add(time.Now(), w)
-	p.kick()
+	p.dispatch()
 	p.mu.Unlock()
-	late := time.NewTimer(time.Until(w.Deadline))
-	defer late.Stop()
+	timer := time.NewTimer(time.Until(w.Deadline))
+	defer timer.Stop()
 	select {
 	case <-t.Done():
 	case <-ctx.Done():
-	case <-late.C:
+	case <-timer.C:
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	t.Finish(stageplan.FailureLate)
 	if ctx.Err() != nil {
-		// A call whose last caller left is looked at from now on.
-		p.kick()
+		// Calls whose callers have all been cancelled are now unwanted.
+		p.dispatch()
 	}
 	if failure, _ := t.Ended(); failure != "" {
-		p.free(t.TakeResults())
+		p.enqueueFree(t.TakeResults())
 		return nil, failure
 	}
 	return t.Results(), ""
 }
 
-// kick sends what can be sent. The mutex must be held.
-func (p *Pool) kick() {
+// dispatch cancels overdue and unwanted calls, and sends calls while the scheduler has
+// any. It schedules another run while work is left. The mutex must be held.
+func (p *Pool) dispatch() {
 	now := time.Now()
-	late, again := p.scheduler.Overdue(now)
-	for _, b := range late {
-		p.abandon(now, b)
+	overdue, recheckNeeded := p.scheduler.Overdue(now)
+	for _, c := range overdue {
+		p.cancelOverdue(now, c)
 	}
-	unwanted, more := p.scheduler.Unwanted(now)
-	again = again || more
-	for _, b := range unwanted {
-		p.cancels[b]()
+	unwanted, moreUnwanted := p.scheduler.Unwanted(now)
+	recheckNeeded = recheckNeeded || moreUnwanted
+	for _, c := range unwanted {
+		p.cancels[c]()
 		p.scope.Counter("calls_unwanted").Inc(1)
 	}
 	for {
-		b, ok := p.scheduler.Next(now)
+		c, ok := p.scheduler.Next(now)
 		if !ok {
 			break
 		}
-		again = true
-		ctx, cancel := context.WithTimeout(p.ctx, callMost)
-		p.cancels[b] = cancel
-		p.calls.Go(func() { p.call(ctx, b) })
+		recheckNeeded = true
+		ctx, cancel := context.WithTimeout(p.ctx, maxCallTime)
+		p.cancels[c] = cancel
+		p.calls.Go(func() { p.call(ctx, c) })
 	}
-	p.tell(now)
-	if (again || !p.scheduler.Idle()) && !p.timed && p.ctx.Err() == nil {
-		p.timed = true
-		time.AfterFunc(recheck, func() {
+	p.logLongWait(now)
+	if (recheckNeeded || !p.scheduler.Idle()) && !p.recheckPending && p.ctx.Err() == nil {
+		p.recheckPending = true
+		time.AfterFunc(recheckInterval, func() {
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			p.timed = false
-			p.kick()
+			p.recheckPending = false
+			p.dispatch()
 		})
 	}
 }
 
-// tell logs now and then that work waits long, and what its servers do. The
-// mutex must be held.
-func (p *Pool) tell(now time.Time) {
+// logLongWait logs the state of the servers if work has been waiting for longWait, at most
+// once per longWaitLogInterval. The mutex must be held.
+func (p *Pool) logLongWait(now time.Time) {
 	oldest := p.scheduler.Oldest(now)
-	if oldest < tellAfter || now.Sub(p.toldAt) < tellEvery {
+	if oldest < longWait || now.Sub(p.longWaitLoggedAt) < longWaitLogInterval {
 		return
 	}
-	p.toldAt = now
+	p.longWaitLoggedAt = now
 	p.log.WithFields(logrus.Fields{"oldest_ms": oldest.Milliseconds(), "pieces": p.scheduler.Pieces(), "servers": p.scheduler.Servers()}).
-		Info("work waits long for stage servers")
+		Info("long wait for stage servers")
 }
 
-// abandon ends a call whose answer is not waited for any more.
-func (p *Pool) abandon(now time.Time, b *stageplan.Call) {
-	p.cancels[b]()
+// cancelOverdue cancels an overdue call; the scheduler has already rescheduled its pieces.
+func (p *Pool) cancelOverdue(now time.Time, c *stageplan.Call) {
+	p.cancels[c]()
 	p.scope.Counter("calls_overdue").Inc(1)
 	p.log.WithFields(logrus.Fields{
-		"server": b.Server().Address, "instance": b.Server().Instance, "pieces": len(b.Items()),
-		"took_ms": now.Sub(b.Began()).Milliseconds(), "expected_ms": b.Expected().Milliseconds(),
-	}).Info("stage call overdue; its pieces go elsewhere")
+		"server": c.Server().Address, "instance": c.Server().Instance, "pieces": len(c.Items()),
+		"took_ms": now.Sub(c.Began()).Milliseconds(), "expected_ms": c.Expected().Milliseconds(),
+	}).Info("stage call overdue; rescheduling its pieces")
 }
 
-func (p *Pool) call(ctx context.Context, b *stageplan.Call) {
-	server, items := b.Server(), b.Items()
+// call sends one call and reports its outcome to the scheduler.
+func (p *Pool) call(ctx context.Context, c *stageplan.Call) {
+	server, items := c.Server(), c.Items()
 	p.scope.Counter("calls").Inc(1)
 	p.scope.Counter("pieces").Inc(int64(len(items)))
 	outcomes, err := p.driver.RunBatch(ctx, server, items)
 	now := time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.cancels[b]()
-	delete(p.cancels, b)
-	if b.Given() {
+	p.cancels[c]()
+	delete(p.cancels, c)
+	if c.Given() {
 		return
 	}
-	p.scope.Histogram("call_seconds", callTimes).RecordDuration(now.Sub(b.Began()))
+	p.scope.Histogram("call_seconds", callTimeBuckets).RecordDuration(now.Sub(c.Began()))
 	if err == nil {
-		p.free(p.scheduler.Finish(now, b, outcomes))
-		p.kick()
+		p.enqueueFree(p.scheduler.Finish(now, c, outcomes))
+		p.dispatch()
 		return
 	}
 	full := verdict.As(err).Reason == verdict.ReasonRefused
 	if !full {
 		p.log.WithError(err).WithFields(logrus.Fields{
-			"server": server.Address, "instance": server.Instance, "pieces": len(items), "took": now.Sub(b.Began()),
-		}).Warn("stage call failed; its pieces go elsewhere")
+			"server": server.Address, "instance": server.Instance, "pieces": len(items), "took": now.Sub(c.Began()),
+		}).Warn("stage call failed; rescheduling its pieces")
 	}
 	p.scope.Counter("calls_failed").Inc(1)
-	p.scheduler.Refuse(now, b, full)
-	p.kick()
+	p.scheduler.Refuse(now, c, full)
+	p.dispatch()
 }
 
-// release gives up results, whoever made them.
+// release frees results that may have been produced for any host.
 func (p *Pool) release(results []stageplan.Result) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.free(results)
+	p.enqueueFree(results)
 }
 
-// free gathers results to give up. The mutex must be held.
-func (p *Pool) free(results []stageplan.Result) {
+// enqueueFree adds results to pendingFree. The mutex must be held.
+func (p *Pool) enqueueFree(results []stageplan.Result) {
 	for _, r := range results {
-		list, waits := p.freeing[r.Server]
-		p.freeing[r.Server] = append(list, r.Handle)
-		if !waits && p.ctx.Err() == nil {
-			time.AfterFunc(freeDelay, func() { p.flush(r.Server) })
+		list, scheduled := p.pendingFree[r.Server]
+		p.pendingFree[r.Server] = append(list, r.Handle)
+		if !scheduled && p.ctx.Err() == nil {
+			time.AfterFunc(freeDelay, func() { p.flushFree(r.Server) })
 		}
 	}
 }
 
-func (p *Pool) flush(address netip.AddrPort) {
+// flushFree frees the pending results of one server in one call, after the server's rest
+// if it has asked for one.
+func (p *Pool) flushFree(address netip.AddrPort) {
 	p.mu.Lock()
-	handles := p.freeing[address]
-	delete(p.freeing, address)
+	handles := p.pendingFree[address]
+	delete(p.pendingFree, address)
 	server, ok := p.scheduler.Server(address)
 	if !ok || server.Unreachable || len(handles) == 0 {
-		// Where nothing may be sent, results expire.
+		// The results expire on a server that nothing can be sent to.
 		p.mu.Unlock()
 		return
 	}
 	if rest := p.rest(server.Instance); rest > 0 {
-		p.freeing[address] = handles
+		p.pendingFree[address] = handles
 		p.mu.Unlock()
-		time.AfterFunc(rest, func() { p.flush(address) })
+		time.AfterFunc(rest, func() { p.flushFree(address) })
 		return
 	}
 	p.mu.Unlock()
-	ctx, cancel := context.WithTimeout(p.ctx, freeFor)
+	ctx, cancel := context.WithTimeout(p.ctx, freeTimeout)
 	defer cancel()
 	if err := p.driver.Free(ctx, server, handles); err != nil {
-		p.log.WithError(err).WithField("server", address).Info("results could not be given up; they expire")
+		p.log.WithError(err).WithField("server", address).Info("freeing results failed; they will expire")
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.scheduler.Release(address, handles)
-	p.kick()
+	p.dispatch()
 }
 
-// State is what the dump shows of a pool.
+// State is the state of a pool in the diagnostic dump.
 type State struct {
 	Waiting int                     `json:"waiting"`
 	Servers []stageplan.ServerState `json:"servers"`
--- a/internal/stagepool/service.go
+++ b/internal/stagepool/service.go
@@ -17,10 +17,10 @@
 	"github.com/wingvale/wingvale/internal/stagepool/stagepb"
 )
 
-// piecesMost bounds the pieces of one request's stage in one message.
-const piecesMost = 4096
+// maxPieces is the most pieces in one RunRequest.
+const maxPieces = 4096
 
-// Handler returns what serves the other hosts, and the path it serves under.
+// Handler returns the path prefix and the handler of the RPCs from other hosts.
 func (g *Group) Handler() (string, http.Handler) {
 	server := stagepb.NewStagesServer(&service{g: g})
 	return server.PathPrefix(), peerhttp.KeepAlive(server)
@@ -28,32 +28,32 @@
 
 type service struct{ g *Group }
 
-// Run makes pieces for another host. Whoever is asked acts, also where its own
-// view names another owner: passing on could go round.
+// Run executes pieces for another host. It never forwards them, even if this host's own
+// view names another owner: forwarding could loop.
 func (s *service) Run(ctx context.Context, in *stagepb.RunRequest) (*stagepb.RunReply, error) {
-	w := workOf(time.Now(), in)
-	if len(w.Pieces) == 0 || len(w.Pieces) > piecesMost {
+	w := workFromMessage(time.Now(), in)
+	if len(w.Pieces) == 0 || len(w.Pieces) > maxPieces {
 		return nil, twirp.InvalidArgumentError("pieces", "want 1 to 4096")
 	}
-	s.g.backlogs.take(time.Now(), in.GetBacklogs())
-	a := s.g.runHere(ctx, in.GetShard(), w)
+	s.g.backlogs.merge(time.Now(), in.GetBacklogs())
+	a := s.g.runLocally(ctx, in.GetShard(), w)
 	return &stagepb.RunReply{
 		Results: resultMessages(a.Results), Failure: string(a.Failure), Backlogs: s.g.backlogs.messages(time.Now()),
 	}, nil
 }
 
-// Alive answers.
+// Alive answers a liveness check.
 func (*service) Alive(context.Context, *stagepb.AliveRequest) (*stagepb.AliveReply, error) {
 	return &stagepb.AliveReply{}, nil
 }
 
-// Release takes results back.
+// Release frees results for another host.
 func (s *service) Release(_ context.Context, in *stagepb.ReleaseRequest) (*stagepb.ReleaseReply, error) {
-	results, err := resultsOf(in.GetResults())
+	results, err := resultsFromMessages(in.GetResults())
 	if err != nil {
 		return nil, twirp.InvalidArgumentError("results", err.Error())
 	}
-	if pool := s.g.pool(in.GetService()); pool != nil {
+	if pool := s.g.localPool(in.GetService()); pool != nil {
 		pool.release(results)
 	}
 	return &stagepb.ReleaseReply{}, nil
@@ -84,7 +84,7 @@
 	return m
 }
 
-func workOf(now time.Time, m *stagepb.RunRequest) stageplan.Work {
+func workFromMessage(now time.Time, m *stagepb.RunRequest) stageplan.Work {
 	w := stageplan.Work{
 		Service:     m.GetService(),
 		Request:     m.GetRequest(),
@@ -120,7 +120,7 @@
 	return messages
 }
 
-func resultsOf(messages []*stagepb.Result) ([]stageplan.Result, error) {
+func resultsFromMessages(messages []*stagepb.Result) ([]stageplan.Result, error) {
 	results := make([]stageplan.Result, 0, len(messages))
 	for _, m := range messages {
 		r := stageplan.Result{Handle: m.GetHandle(), Zone: m.GetZone()}
--- a/internal/stagepool/shard.go
+++ b/internal/stagepool/shard.go
@@ -19,48 +19,50 @@
 )
 
 const (
-	// shardSize is about the most servers that one host owns together: with all of
-	// them at hand, work waits least for a free one, and calls are fullest; their
-	// owner sends all of it, and looks at all of them for each call.
+	// shardSize is about the most servers in a shard. In a larger shard, work waits less
+	// for a free server and calls are fuller; but its owner sends all of its calls and
+	// examines all of its servers for each call.
 	shardSize = 24
-	// zoneMark and partMark stand in the names of shards.
-	zoneMark = "/"
-	partMark = "#"
-	// halfHash is how many bits a hash is turned by to choose again.
-	halfHash = 32
+	// zoneSeparator and partSeparator precede the zone and the part in a shard's name.
+	zoneSeparator = "/"
+	partSeparator = "#"
+	// rehashRotation is how many bits a hash is rotated by to get a second, independent
+	// choice of shard.
+	rehashRotation = 32
 )
 
-// shard names the servers of a service that one host owns together: all of them, those
-// of one availability zone where there are many, or a part of these.
+// shard identifies a group of servers of a service that one host owns: all servers, those
+// of one availability zone if there are many, or a part of these.
 type shard struct {
 	service string
-	zoned   bool
-	zone    string
-	part    int
+	// zoned says that the shard has the servers of one zone only.
+	zoned bool
+	zone  string
+	part  int
 }
 
-// String names the shard to other hosts.
+// String returns the name of the shard in messages between hosts.
 func (s shard) String() string {
 	name := s.service
 	if s.zoned {
-		name += zoneMark + s.zone
+		name += zoneSeparator + s.zone
 	}
 	if s.part > 0 {
-		name += partMark + strconv.Itoa(s.part)
+		name += partSeparator + strconv.Itoa(s.part)
 	}
 	return name
 }
 
-// shardNamed is the shard of a name.
-func shardNamed(name string) shard {
-	at := strings.LastIndex(name, zoneMark)
-	if at < 0 {
+// parseShard returns the shard with a name that String returned.
+func parseShard(name string) shard {
+	i := strings.LastIndex(name, zoneSeparator)
+	if i < 0 {
 		return shard{service: name}
 	}
-	s := shard{service: name[:at], zoned: true, zone: name[at+len(zoneMark):]}
-	if at = strings.LastIndex(s.zone, partMark); at >= 0 {
-		if part, err := strconv.Atoi(s.zone[at+len(partMark):]); err == nil && part >= 0 {
-			s.zone, s.part = s.zone[:at], part
+	s := shard{service: name[:i], zoned: true, zone: name[i+len(zoneSeparator):]}
+	if i = strings.LastIndex(s.zone, partSeparator); i >= 0 {
+		if part, err := strconv.Atoi(s.zone[i+len(partSeparator):]); err == nil && part >= 0 {
+			s.zone, s.part = s.zone[:i], part
 		}
 	}
 	return s
@@ -69,40 +71,41 @@
 // zoneServers are the servers of a service in one availability zone.
 type zoneServers struct {
 	region string
-	// open is how many of them do not leave.
-	open int
-	// servers has the last server at each address.
+	// available is how many of the servers are not leaving.
+	available int
+	// servers holds the latest server at each address.
 	servers *owner.Divided[netip.AddrPort, stageplan.Server]
 }
 
-// serviceServers are the servers of a service.
+// serviceServers are the servers of a service, divided into shards.
 type serviceServers struct {
 	zones map[string]*zoneServers
-	// names has the zones in order, and shards the names of all shards.
-	names  []string
-	shards []string
-	count  int
-	// renamed says that shards are out of date.
-	renamed bool
+	// zoneNames holds the zones in order, and shards the names of all shards.
+	zoneNames []string
+	shards    []string
+	count     int
+	// shardsOutdated says that shards must be computed anew.
+	shardsOutdated bool
 }
 
-// newServiceServers returns a service without servers, which is one shard.
+// newServiceServers returns a service without servers, which has one shard.
 func newServiceServers(service string) *serviceServers {
 	return &serviceServers{zones: make(map[string]*zoneServers), shards: []string{service}}
 }
 
-// change takes in one server that was added, changed or removed, and returns its zones.
-func (s *serviceServers) change(c listed.Change[stageplan.Server]) []string {
-	var touched []string
+// apply applies the addition, change or removal of a server, and returns the zones that it
+// affects.
+func (s *serviceServers) apply(c listed.Change[stageplan.Server]) []string {
+	var zones []string
 	if c.Old != nil {
 		s.remove(*c.Old)
-		touched = append(touched, c.Old.Zone)
+		zones = append(zones, c.Old.Zone)
 	}
 	if c.New != nil {
 		s.put(*c.New)
-		touched = append(touched, c.New.Zone)
+		zones = append(zones, c.New.Zone)
 	}
-	return touched
+	return zones
 }
 
 func (s *serviceServers) put(server stageplan.Server) {
@@ -111,74 +114,74 @@
 		hash := func(address netip.AddrPort) uint64 { return owner.Score(address, "") }
 		zone = &zoneServers{region: server.Region, servers: owner.NewDivided[netip.AddrPort, stageplan.Server](shardSize, hash)}
 		s.zones[server.Zone] = zone
-		s.names = slices.Sorted(maps.Keys(s.zones))
-		s.renamed = true
+		s.zoneNames = slices.Sorted(maps.Keys(s.zones))
+		s.shardsOutdated = true
 	}
 	s.drop(zone, server.Address)
 	zone.servers.Put(server.Address, server)
 	s.count++
 	if !server.Leaving {
-		zone.open++
+		zone.available++
 	}
 }
 
-// remove takes a server out unless another run has its address by now.
+// remove removes a server unless another run of it has taken over its address.
 func (s *serviceServers) remove(server stageplan.Server) {
 	zone := s.zones[server.Zone]
 	if zone == nil {
 		return
 	}
-	if held, ok := zone.at(server.Address); ok && held.Instance == server.Instance {
+	if existing, ok := zone.get(server.Address); ok && existing.Instance == server.Instance {
 		s.drop(zone, server.Address)
 	}
 }
 
 func (s *serviceServers) drop(zone *zoneServers, address netip.AddrPort) {
-	held, ok := zone.at(address)
+	existing, ok := zone.get(address)
 	if !ok {
 		return
 	}
 	zone.servers.Remove(address)
 	s.count--
-	if !held.Leaving {
-		zone.open--
+	if !existing.Leaving {
+		zone.available--
 	}
 }
 
-func (z *zoneServers) at(address netip.AddrPort) (stageplan.Server, bool) {
-	held, ok := z.servers.Part(z.servers.Of(address))[address]
-	return held, ok
+func (z *zoneServers) get(address netip.AddrPort) (stageplan.Server, bool) {
+	existing, ok := z.servers.Part(z.servers.Of(address))[address]
+	return existing, ok
 }
 
-// divide brings the shards in line with the servers. It is called after each batch of
-// changes.
-func (s *serviceServers) divide(service string) {
+// updateShards divides the servers into shards again. It must be called after each batch
+// of changes.
+func (s *serviceServers) updateShards(service string) {
 	for _, zone := range s.zones {
-		s.renamed = zone.servers.Divide() || s.renamed
+		s.shardsOutdated = zone.servers.Divide() || s.shardsOutdated
 	}
-	if s.renamed || s.split() != (len(s.shards) > 1) {
-		s.shards, s.renamed = s.shardNames(service), false
+	if s.shardsOutdated || s.splitByZone() != (len(s.shards) > 1) {
+		s.shards, s.shardsOutdated = s.shardNames(service), false
 	}
 }
 
-// split reports whether the servers are owned by zone.
-func (s *serviceServers) split() bool {
+// splitByZone reports whether each zone has shards of its own.
+func (s *serviceServers) splitByZone() bool {
 	return s.count > shardSize
 }
 
-// servers returns those of a shard, by address. A part that there isn't, of which a host
-// with more servers on its list may know, stands for one that there is.
-func (s *serviceServers) servers(of shard) []stageplan.Server {
+// servers returns the servers of a shard, ordered by address. A host that knows of more
+// servers may name a part that does not exist here; it is mapped to an existing one.
+func (s *serviceServers) servers(target shard) []stageplan.Server {
 	var list []stageplan.Server
-	for _, name := range s.names {
+	for _, name := range s.zoneNames {
 		zone := s.zones[name]
 		switch {
-		case !of.zoned || of.zone == "":
+		case !target.zoned || target.zone == "":
 			for part := range zone.servers.Parts() {
 				list = slices.AppendSeq(list, maps.Values(zone.servers.Part(part)))
 			}
-		case of.zone == name:
-			list = slices.AppendSeq(list, maps.Values(zone.servers.Part(of.part%zone.servers.Parts())))
+		case target.zone == name:
+			list = slices.AppendSeq(list, maps.Values(zone.servers.Part(target.part%zone.servers.Parts())))
 		}
 	}
 	slices.SortFunc(list, func(a, b stageplan.Server) int { return a.Address.Compare(b.Address) })
@@ -187,11 +190,11 @@
 
 // shardNames returns the names of all shards, in order.
 func (s *serviceServers) shardNames(service string) []string {
-	if !s.split() {
+	if !s.splitByZone() {
 		return []string{service}
 	}
 	var names []string
-	for _, zone := range s.names {
+	for _, zone := range s.zoneNames {
 		for part := range s.zones[zone].servers.Parts() {
 			names = append(names, shard{service: service, zoned: true, zone: zone, part: part}.String())
 		}
@@ -199,92 +202,93 @@
 	return names
 }
 
-// known returns the shard that a name means among those that there are.
-func (s *serviceServers) known(of shard) shard {
-	if zone := s.zones[of.zone]; zone != nil {
-		of.part %= zone.servers.Parts()
+// resolve maps a shard whose part does not exist here to one that does.
+func (s *serviceServers) resolve(target shard) shard {
+	if zone := s.zones[target.zone]; zone != nil {
+		target.part %= zone.servers.Parts()
 	}
-	return of
+	return target
 }
 
-// allows reports whether a zone has servers for work that do not leave.
-func (z *zoneServers) allows(w stageplan.Work) bool {
-	return z.open > 0 && w.Allows(stageplan.Server{Region: z.region})
+// canServe reports whether the zone has servers for w that are not leaving.
+func (z *zoneServers) canServe(w stageplan.Work) bool {
+	return z.available > 0 && w.Allows(stageplan.Server{Region: z.region})
 }
 
-// pick returns a shard for work by a hash: each zone as often as it has servers that may
-// do it. It reports false where none has.
-func (s *serviceServers) pick(w stageplan.Work, hash uint64) (shard, bool) {
-	open := 0
+// pickShard chooses a shard for w by a hash, with zones weighted by their servers that may
+// run w. It reports false if there are none.
+func (s *serviceServers) pickShard(w stageplan.Work, hash uint64) (shard, bool) {
+	available := 0
 	for _, zone := range s.zones {
-		if zone.allows(w) {
-			open += zone.open
+		if zone.canServe(w) {
+			available += zone.available
 		}
 	}
-	if open == 0 {
+	if available == 0 {
 		return shard{}, false
 	}
-	left := int(hash % uint64(open))
-	for _, name := range s.names {
+	remaining := int(hash % uint64(available))
+	for _, name := range s.zoneNames {
 		zone := s.zones[name]
-		if !zone.allows(w) {
+		if !zone.canServe(w) {
 			continue
 		}
-		if left < zone.open {
-			return s.inZone(w, name, hash), true
+		if remaining < zone.available {
+			return s.pickInZone(w, name, hash), true
 		}
-		left -= zone.open
+		remaining -= zone.available
 	}
 	return shard{}, false
 }
 
-// inZone returns a shard of a zone by a hash.
-func (s *serviceServers) inZone(w stageplan.Work, zone string, hash uint64) shard {
+// pickInZone chooses a shard of a zone by a hash.
+func (s *serviceServers) pickInZone(w stageplan.Work, zone string, hash uint64) shard {
 	return shard{service: w.Service, zoned: true, zone: zone, part: owner.Part(hash, s.zones[zone].servers.Parts())}
 }
 
-// holding returns the shard of a server.
-func (s *serviceServers) holding(service, zone string, address netip.AddrPort) shard {
-	of := shard{service: service}
-	if !s.split() {
-		return of
+// shardOfServer returns the shard that a server belongs to.
+func (s *serviceServers) shardOfServer(service, zone string, address netip.AddrPort) shard {
+	owned := shard{service: service}
+	if !s.splitByZone() {
+		return owned
 	}
-	of.zoned, of.zone = true, zone
+	owned.zoned, owned.zone = true, zone
 	if z := s.zones[zone]; z != nil {
-		of.part = z.servers.Of(address)
+		owned.part = z.servers.Of(address)
 	}
-	return of
+	return owned
 }
 
-// shard names the servers that are to do work. Work that is not tied to a zone goes to
-// the zones by their servers, to the one of two shards where it waits less; work that is
-// goes to the better of two shards there, and leaves its zone only where it would wait far
-// longer. The mutex must be held.
-func (g *Group) shard(w stageplan.Work) string {
+// shardFor returns the name of the shard that is to run w, by the power of two choices: of
+// two shards chosen by hash, it takes the one with the shorter wait. If w has no zone, or
+// none that can serve it, both are chosen from all zones, weighted by their servers.
+// Otherwise both are in the zone of w, and another zone is used only if the wait there is
+// shorter by more than crossZoneMargin. The mutex must be held.
+func (g *Group) shardFor(w stageplan.Work) string {
 	s := g.services[w.Service]
-	if s == nil || !s.split() {
+	if s == nil || !s.splitByZone() {
 		return w.Service
 	}
 	hash := xxhash.Sum64String(w.Request)
-	other := bits.RotateLeft64(hash, halfHash)
-	first, open := s.pick(w, hash)
-	if !open {
+	rehash := bits.RotateLeft64(hash, rehashRotation)
+	firstChoice, available := s.pickShard(w, hash)
+	if !available {
 		return shard{service: w.Service, zoned: true, zone: w.Zone}.String()
 	}
-	if zone := s.zones[w.Zone]; zone == nil || !zone.allows(w) {
-		second, _ := s.pick(w, other)
-		return g.lessWait(first.String(), second.String())
+	if zone := s.zones[w.Zone]; zone == nil || !zone.canServe(w) {
+		secondChoice, _ := s.pickShard(w, rehash)
+		return g.shorterWait(firstChoice.String(), secondChoice.String())
 	}
-	home := g.lessWait(s.inZone(w, w.Zone, hash).String(), s.inZone(w, w.Zone, other).String())
-	if away := first.String(); g.wait(away)+zoneWait < g.wait(home) {
-		return away
+	local := g.shorterWait(s.pickInZone(w, w.Zone, hash).String(), s.pickInZone(w, w.Zone, rehash).String())
+	if remote := firstChoice.String(); g.expectedWait(remote)+crossZoneMargin < g.expectedWait(local) {
+		return remote
 	}
-	return home
+	return local
 }
 
-// lessWait returns the one of two shards where new work waits less, the first if equal.
-func (g *Group) lessWait(first, second string) string {
-	if first != second && g.wait(second) < g.wait(first) {
+// shorterWait returns the shard with the shorter wait, or first if the waits are equal.
+func (g *Group) shorterWait(first, second string) string {
+	if first != second && g.expectedWait(second) < g.expectedWait(first) {
 		return second
 	}
 	return first
--- a/internal/stagepool/shard_test.go
+++ b/internal/stagepool/shard_test.go
@@ -18,11 +18,11 @@
 	"github.com/wingvale/wingvale/internal/stagepool"
 )
 
-// manyServers returns so many in each of five availability zones.
-func manyServers(each int) []stageplan.Server {
+// manyServers returns perZone servers in each of five availability zones.
+func manyServers(perZone int) []stageplan.Server {
 	var list []stageplan.Server
 	for zone := range 5 {
-		for i := range each {
+		for i := range perZone {
 			address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(10 + zone), byte(i >> 8), byte(i)}), 80)
 			list = append(list, stageplan.Server{Instance: fmt.Sprintf("%d-%d", zone, i), Address: address, Zone: string(rune('a' + zone)), Region: "r"})
 		}
@@ -30,25 +30,25 @@
 	return list
 }
 
-// One host owned the 180 servers of a zone, and looked at all of them for each of their
-// 800 calls a second.
-func TestNoHostOwnsManyServersOfAService(t *testing.T) {
-	for _, each := range []int{6, 30, 180, 360} {
-		servers := manyServers(each)
+// Shards must stay small: the owner of a shard examines all of its servers for each call,
+// and a zone of 180 servers has 800 calls per second.
+func TestShardSizeIsBounded(t *testing.T) {
+	for _, perZone := range []int{6, 30, 180, 360} {
+		servers := manyServers(perZone)
 		shards := stagepool.Shards("read", servers)
-		held := make(map[string]bool)
+		seen := make(map[string]bool)
 		for _, shard := range shards {
-			assert.Assert(t, len(shard) <= 2*stagepool.ShardSize, "%d servers in a shard, %d a zone", len(shard), each)
+			assert.Assert(t, len(shard) <= 2*stagepool.ShardSize, "%d servers in a shard, %d a zone", len(shard), perZone)
 			for _, s := range shard {
-				assert.Assert(t, !held[s.Instance], "%s is in two shards", s.Instance)
-				held[s.Instance] = true
+				assert.Assert(t, !seen[s.Instance], "%s is in two shards", s.Instance)
+				seen[s.Instance] = true
 			}
 		}
-		assert.Equal(t, len(held), len(servers))
+		assert.Equal(t, len(seen), len(servers))
 	}
 }
 
-func TestWorkSpreadsOverAllShards(t *testing.T) {
+func TestWorkIsSpreadOverAllShardsOfItsZone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -56,25 +56,25 @@
 		for i := range 200 {
 			assert.Equal(t, ask(ctx, groups[i%len(groups)], fmt.Sprint("request-", i), "c").Failure, stageplan.Failure(""))
 		}
-		// One after another, each shard's requests go to the same server.
-		assert.Equal(t, len(f.calls), 3, "of the 60 servers of their zone, in three shards")
+		// Requests that are sent one after another use the same server of their shard.
+		assert.Equal(t, len(f.calls), 3, "want one server in each of the three shards of the zone")
 		for instance := range f.calls {
-			assert.Equal(t, instance[0], byte('2'), "light work leaves its zone")
+			assert.Equal(t, instance[0], byte('2'), "work must stay in its zone under light load")
 		}
 		cancel()
 	})
 }
 
-// A host that has heard of fewer servers is asked for a part that it doesn't know, and
-// must not say that there are no servers.
-func TestHostsThatKnowOfFewerServersServeAllTheSame(t *testing.T) {
+// A host that knows of fewer servers may be asked for a part of a zone that it does not
+// know. It must not answer that there are no servers.
+func TestHostThatKnowsFewerServersAcceptsUnknownShards(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		_, groups := newFleet(ctx, 4, manyServers(120)...)
-		few := manyServers(30)
+		fewerServers := manyServers(30)
 		for _, g := range groups[1:] {
-			g.Configure(map[string]stageplan.Spec{"read": spec}, map[string][]stageplan.Server{"read": few})
+			g.Configure(map[string]stageplan.Spec{"read": spec}, map[string][]stageplan.Server{"read": fewerServers})
 		}
 		for i := range 60 {
 			assert.Equal(t, ask(ctx, groups[0], fmt.Sprint("request-", i), "c").Failure, stageplan.Failure(""))
@@ -83,8 +83,9 @@
 	})
 }
 
-// What a change leads to must be what the whole list would lead to.
-func TestChangesLeadWhereTheWholeListDoes(t *testing.T) {
+// Servers that Change removes or marks as leaving must get no further calls, as after a
+// Configure without them.
+func TestChangeIsEquivalentToConfigure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -99,7 +100,7 @@
 			assert.Equal(t, ask(ctx, groups[0], fmt.Sprint("request-", i), "").Failure, stageplan.Failure(""))
 		}
 		for i := range servers[:140] {
-			assert.Equal(t, f.calls[servers[i].Instance], 0, "%s is gone", servers[i].Instance)
+			assert.Equal(t, f.calls[servers[i].Instance], 0, "%s was removed", servers[i].Instance)
 		}
 		leaving := servers[149]
 		leaving.Leaving = true
@@ -114,9 +115,9 @@
 }
 
 func BenchmarkShard(b *testing.B) {
-	for _, each := range []int{30, 180, 360} {
-		b.Run(fmt.Sprint(5*each), func(b *testing.B) {
-			_, groups := newFleet(b.Context(), 1, manyServers(each)...)
+	for _, perZone := range []int{30, 180, 360} {
+		b.Run(fmt.Sprint(5*perZone), func(b *testing.B) {
+			_, groups := newFleet(b.Context(), 1, manyServers(perZone)...)
 			w := work("request", 8)
 			w.Zone, w.Latest = "c", time.Now().Add(time.Hour)
 			b.ReportAllocs()
--- a/internal/stagepool/stagepb/stage.twirp.go
+++ b/internal/stagepool/stagepb/stage.twirp.go
@@ -31,16 +31,17 @@
 // Stages Interface
 // ================
 
-// Stages is what a host says to the one that fills the calls of a stage pool.
+// Stages is the service of the host that owns a stage pool. Other hosts call it to run
+// work on the servers of the pool.
 type Stages interface {
-	// Run makes the pieces of one stage of one request.
+	// Run executes pieces of one stage of one request.
 	Run(context.Context, *RunRequest) (*RunReply, error)
 
-	// Alive answers at once; it tells a host that works from one that stands
-	// still.
+	// Alive answers at once. It distinguishes a busy host from one that has stopped
+	// responding.
 	Alive(context.Context, *AliveRequest) (*AliveReply, error)
 
-	// Release gives up results, so that their servers have room again.
+	// Release frees results, so that their servers have room again.
 	Release(context.Context, *ReleaseRequest) (*ReleaseReply, error)
 }
 
