--- a/internal/enginepool/doc.go
+++ b/internal/enginepool/doc.go
@@ -1,12 +1,13 @@
 // Copyright 2026 The Wingvale Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package enginepool has prompts placed on model engines by the hosts that own
-// these.
+// Package enginepool places prompts on model engines through the hosts that own the
+// engines.
 //
-// No single host sees enough of what engines keep and what waits there, and reports
-// of engines are old when they arrive. So every shard of a pool has one owner among
-// the live hosts, by rendezvous hashing, which places all its prompts by
-// internal/placing and so knows what it has sent where. A host that cannot reach
-// the owner asks the next, and in the end decides by what it knows itself.
+// No host sees enough of the traffic to know what each engine has cached and queued, and
+// the engines' own reports are out of date when they arrive. Each shard of a pool therefore
+// has one owner among the live hosts, chosen by rendezvous hashing. The owner places all
+// prompts of the shard with internal/placing, and so knows what it has sent to each engine.
+// A host that cannot reach the owner tries the next host in the ranking, and finally places
+// the prompt by its own records.
 package enginepool
--- a/internal/enginepool/enginepb/engine.twirp.go
+++ b/internal/enginepool/enginepb/engine.twirp.go
@@ -31,12 +31,15 @@
 // Engines Interface
 // =================
 
-// Engines is what a host says to the one that places prompts.
+// Engines is the service of the host that owns a shard of engines. Other hosts call it to
+// have prompts placed.
 type Engines interface {
-	// Place names the engine for one prompt, and tells how earlier ones went.
+	// Place returns the engine for one prompt. The request also reports how earlier prompts
+	// went.
 	Place(context.Context, *PlaceRequest) (*PlaceReply, error)
 
-	// Report tells at once how prompts went, as where an engine is silent.
+	// Report reports how prompts went without waiting for the next Place call, for example
+	// when an engine is silent.
 	Report(context.Context, *ReportRequest) (*ReportReply, error)
 }
 
--- a/internal/enginepool/group.go
+++ b/internal/enginepool/group.go
@@ -23,16 +23,17 @@
 )
 
 const (
-	// placeFor is how long another host may take to place a prompt. It answers
-	// at once, and the host itself can decide nearly as well.
-	placeFor = 80 * time.Millisecond
-	// ownersTried bounds how many hosts are asked.
-	ownersTried = 2
-	// reportsMost bounds the reports that wait for the next question.
-	reportsMost = 64
+	// placeTimeout is the timeout of a call to another host. It is short because the owner
+	// answers at once, and because this host can place a prompt nearly as well.
+	placeTimeout = 80 * time.Millisecond
+	// maxOwnersTried is how many hosts are tried before this host places a prompt itself.
+	maxOwnersTried = 2
+	// maxReports is the most reports of a shard that are queued for the next PlaceRequest,
+	// and the most in a ReportRequest.
+	maxReports = 64
 )
 
-// Options are a Group's dependencies; all are needed.
+// Options holds the dependencies of a Group. All are required.
 type Options struct {
 	Owners *owner.Finder
 	HTTP   *http.Client
@@ -40,41 +41,42 @@
 	Scope  tally.Scope
 }
 
-// Group has the engines of all services and finds their owners. It is safe for
-// concurrent use.
+// Group places prompts on the engines of all services, by this host's own records or
+// through the hosts that own the engines. It is safe for concurrent use.
 type Group struct {
 	options Options
 	ctx     context.Context
 
 	mu sync.Mutex
-	// services has the engines of each, divided into shards.
+	// services holds the engines of each service, divided into shards.
 	services map[string]*owner.Divided[string, *placing.Engine]
-	// books has those of this host.
+	// books holds this host's records of the engines of a shard.
 	books map[shard]*placing.Book
-	// reports wait for the next question to the owner of their shard.
+	// reports are queued for the next PlaceRequest to the owner of their shard.
 	reports map[shard][]placing.Report
 }
 
-// shard names the engines of a service that one host places prompts on.
+// shard identifies a group of engines of a service that one host owns.
 type shard struct {
 	service string
-	// number is below the count of the service's shards.
+	// number is from 0 up to the number of the service's shards, exclusive.
 	number int
 }
 
-// String names the shard to other hosts; the first is named like its service, which may
-// have no other.
+// String returns the name of the shard in messages between hosts. The first shard has the
+// name of its service, which may have no other shards.
 func (s shard) String() string {
 	if s.number == 0 {
 		return s.service
 	}
-	return s.service + shardMark + strconv.Itoa(s.number)
+	return s.service + shardSeparator + strconv.Itoa(s.number)
 }
 
-// shardMark stands between a service and the number of a shard, in their name.
-const shardMark = "#"
+// shardSeparator separates the service from the number in the name of a shard.
+const shardSeparator = "#"
 
-// New returns a group without engines whose calls end with ctx.
+// New returns a group without engines. The reports that Silent sends are cancelled
+// when ctx is done.
 func New(ctx context.Context, options Options) *Group {
 	return &Group{
 		options:  options,
@@ -85,8 +87,7 @@
 	}
 }
 
-// Configure replaces the engines of all services, where a configuration says other
-// things of them.
+// Configure replaces the engines of all services after a change of the configuration.
 func (g *Group) Configure(changes []listed.Change[placing.Engine]) {
 	g.mu.Lock()
 	clear(g.services)
@@ -95,18 +96,18 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for s, b := range g.books {
-		b.SetEngines(g.enginesOf(s))
+		b.SetEngines(g.enginesOfShard(s))
 	}
 }
 
-// Change takes in which engines were added, changed and removed. What it is given is
-// shared and must not be changed.
+// Change applies the addition, change and removal of engines. The engines in changes are
+// shared with the caller and must not be modified.
 func (g *Group) Change(changes []listed.Change[placing.Engine]) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	touched := make(map[shard]bool)
+	changedShards := make(map[shard]bool)
 	for _, c := range changes {
-		engines := g.engines(c.Service)
+		engines := g.enginesOfService(c.Service)
 		instance := ""
 		if c.New != nil {
 			instance = c.New.Instance
@@ -115,21 +116,22 @@
 			instance = c.Old.Instance
 			engines.Remove(instance)
 		}
-		touched[shard{service: c.Service, number: engines.Of(instance)}] = true
+		changedShards[shard{service: c.Service, number: engines.Of(instance)}] = true
 	}
-	divided := make(map[string]bool)
+	redivided := make(map[string]bool)
 	for service, engines := range g.services {
-		divided[service] = engines.Divide()
+		redivided[service] = engines.Divide()
 	}
 	for s, b := range g.books {
-		if touched[s] || divided[s.service] {
-			b.SetEngines(g.enginesOf(s))
+		if changedShards[s] || redivided[s.service] {
+			b.SetEngines(g.enginesOfShard(s))
 		}
 	}
 }
 
-// engines returns those of a service, which may be none yet. The mutex must be held.
-func (g *Group) engines(service string) *owner.Divided[string, *placing.Engine] {
+// enginesOfService returns the engines of a service, and creates an empty set if there is
+// none. The mutex must be held.
+func (g *Group) enginesOfService(service string) *owner.Divided[string, *placing.Engine] {
 	engines := g.services[service]
 	if engines == nil {
 		engines = placing.NewShards[*placing.Engine]()
@@ -138,9 +140,9 @@
 	return engines
 }
 
-// enginesOf returns the engines of a shard. The mutex must be held.
-func (g *Group) enginesOf(s shard) []placing.Engine {
-	part := g.engines(s.service).Part(s.number)
+// enginesOfShard returns the engines of a shard. The mutex must be held.
+func (g *Group) enginesOfShard(s shard) []placing.Engine {
+	part := g.enginesOfService(s.service).Part(s.number)
 	list := make([]placing.Engine, 0, len(part))
 	for _, e := range part {
 		list = append(list, *e)
@@ -148,43 +150,43 @@
 	return list
 }
 
-// ofPrompt returns the shard of a prompt. The mutex must be held.
-func (g *Group) ofPrompt(service string, p placing.Prompt) shard {
-	return shard{service: service, number: placing.OfPrompt(p, g.engines(service).Parts())}
+// shardOfPrompt returns the shard of a prompt. The mutex must be held.
+func (g *Group) shardOfPrompt(service string, p placing.Prompt) shard {
+	return shard{service: service, number: placing.OfPrompt(p, g.enginesOfService(service).Parts())}
 }
 
-// ofEngine returns the shard of an engine. The mutex must be held.
-func (g *Group) ofEngine(service, instance string) shard {
-	return shard{service: service, number: g.engines(service).Of(instance)}
+// shardOfEngine returns the shard of an engine. The mutex must be held.
+func (g *Group) shardOfEngine(service, instance string) shard {
+	return shard{service: service, number: g.enginesOfService(service).Of(instance)}
 }
 
-// shardNamed returns the shard that another host means. One that knows of more engines
-// may name a shard that there isn't yet: its prompts go to one that there is, rather than
-// being refused.
-func (g *Group) shardNamed(name string) shard {
+// resolveShard returns the shard with a name that another host sent. A host that knows of
+// more engines may name a shard that does not exist here yet; it is mapped to an existing
+// one, so that its prompts are not refused.
+func (g *Group) resolveShard(name string) shard {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	at := strings.LastIndex(name, shardMark)
-	if _, whole := g.services[name]; whole || at < 0 {
+	i := strings.LastIndex(name, shardSeparator)
+	if _, isService := g.services[name]; isService || i < 0 {
 		return shard{service: name}
 	}
-	s := shard{service: name[:at]}
-	if number, err := strconv.Atoi(name[at+len(shardMark):]); err == nil && number > 0 {
-		s.number = number % g.engines(s.service).Parts()
+	s := shard{service: name[:i]}
+	if number, err := strconv.Atoi(name[i+len(shardSeparator):]); err == nil && number > 0 {
+		s.number = number % g.enginesOfService(s.service).Parts()
 	}
 	return s
 }
 
-// Place asks the owner of the prompt's engines for the best one, or decides
-// itself where this host is the owner or no owner answers.
+// Place returns the best engine for a prompt. It asks the owner of the prompt's shard, or
+// decides itself if this host is the owner or no owner answers.
 func (g *Group) Place(ctx context.Context, service string, p placing.Prompt) placing.Place {
 	g.mu.Lock()
-	shard := g.ofPrompt(service, p)
+	shard := g.shardOfPrompt(service, p)
 	reports := g.reports[shard]
 	delete(g.reports, shard)
 	g.mu.Unlock()
-	for _, peer := range g.options.Owners.Others(shard.String(), ownersTried) {
-		place, err := g.ask(ctx, peer, shard, p, reports)
+	for _, peer := range g.options.Owners.Others(shard.String(), maxOwnersTried) {
+		place, err := g.placeAtPeer(ctx, peer, shard, p, reports)
 		if err == nil {
 			return place
 		}
@@ -196,21 +198,23 @@
 		g.options.Scope.Counter("owner_failed").Inc(1)
 		g.options.Log.WithError(err).WithFields(logrus.Fields{"peer": peer.Address, "pool": shard}).Warn("the owner of an engine pool failed")
 	}
-	return g.placeHere(shard, p, reports)
+	return g.placeLocally(shard, p, reports)
 }
 
-// book returns this host's book of a shard. The mutex must be held.
+// book returns this host's records of a shard, and creates them if needed. The mutex must
+// be held.
 func (g *Group) book(s shard) *placing.Book {
 	b := g.books[s]
 	if b == nil {
 		b = placing.NewBook()
-		b.SetEngines(g.enginesOf(s))
+		b.SetEngines(g.enginesOfShard(s))
 		g.books[s] = b
 	}
 	return b
 }
 
-func (g *Group) placeHere(s shard, p placing.Prompt, reports []placing.Report) placing.Place {
+// placeLocally applies reports and places a prompt by this host's records.
+func (g *Group) placeLocally(s shard, p placing.Prompt, reports []placing.Report) placing.Place {
 	now := time.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -221,8 +225,8 @@
 	return b.Place(now, p)
 }
 
-// reportHere takes reports in where this host places the prompts of a shard.
-func (g *Group) reportHere(s shard, reports []placing.Report) {
+// reportLocally applies reports to this host's records of a shard.
+func (g *Group) reportLocally(s shard, reports []placing.Report) {
 	now := time.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -232,41 +236,43 @@
 	}
 }
 
-// Silent tells the owner of an engine at once that it has not answered a prompt in
-// a time that means something: what comes meanwhile would go there too.
+// Silent reports to the owner of an engine that the engine has not answered a prompt in
+// significant time. It does so at once, as further prompts would be placed there meanwhile.
 func (g *Group) Silent(service, instance string) {
 	g.mu.Lock()
-	shard := g.ofEngine(service, instance)
+	shard := g.shardOfEngine(service, instance)
 	g.mu.Unlock()
 	reports := []placing.Report{{Instance: instance, Failed: true}}
-	for _, peer := range g.options.Owners.Others(shard.String(), ownersTried) {
-		ctx, cancel := context.WithTimeout(g.ctx, placeFor)
+	for _, peer := range g.options.Owners.Others(shard.String(), maxOwnersTried) {
+		ctx, cancel := context.WithTimeout(g.ctx, placeTimeout)
 		client := enginepb.NewEnginesProtobufClient("http://"+peer.Control.String(), g.options.HTTP)
 		_, err := client.Report(ctx, &enginepb.ReportRequest{Service: shard.String(), Reports: reportMessages(reports)})
 		cancel()
 		if err == nil || g.ctx.Err() != nil {
 			return
 		}
-		g.options.Log.WithError(err).WithFields(logrus.Fields{"peer": peer.Address, "pool": shard}).Warn("the owner of an engine pool took no report")
+		g.options.Log.WithError(err).WithFields(logrus.Fields{"peer": peer.Address, "pool": shard}).Warn("reporting a silent engine to the pool owner failed")
 	}
-	g.reportHere(shard, reports)
+	g.reportLocally(shard, reports)
 }
 
-// Ended notes how a prompt went; the owner hears of it with the next question.
+// Ended queues the report of a prompt that has ended. It is sent to the owner with the
+// next PlaceRequest.
 func (g *Group) Ended(service string, r placing.Report) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	shard := g.ofEngine(service, r.Instance)
-	if len(g.reports[shard]) < reportsMost {
+	shard := g.shardOfEngine(service, r.Instance)
+	if len(g.reports[shard]) < maxReports {
 		g.reports[shard] = append(g.reports[shard], r)
 	}
 }
 
-func (g *Group) ask(ctx context.Context, peer owner.Peer, s shard, p placing.Prompt, reports []placing.Report) (placing.Place, error) {
-	ctx, cancel := context.WithTimeout(ctx, placeFor)
+// placeAtPeer sends a prompt to be placed, and queued reports, to another host.
+func (g *Group) placeAtPeer(ctx context.Context, peer owner.Peer, s shard, p placing.Prompt, reports []placing.Report) (placing.Place, error) {
+	ctx, cancel := context.WithTimeout(ctx, placeTimeout)
 	defer cancel()
 	client := enginepb.NewEnginesProtobufClient("http://"+peer.Control.String(), g.options.HTTP)
-	reply, err := client.Place(ctx, promptMessage(s.String(), p, reports))
+	reply, err := client.Place(ctx, placeRequest(s.String(), p, reports))
 	if err != nil {
 		return placing.Place{}, err
 	}
@@ -277,13 +283,13 @@
 	}
 	if source := reply.GetSource(); len(source) > 0 {
 		if err := place.Source.UnmarshalBinary(source); err != nil {
-			return placing.Place{}, fmt.Errorf("enginepool: source %x: %w", source, err)
+			return placing.Place{}, fmt.Errorf("enginepool: decoding source address %x: %w", source, err)
 		}
 	}
 	return place, nil
 }
 
-// Handler returns what serves the other hosts, and the path it serves under.
+// Handler returns the path prefix and the handler of the RPCs from other hosts.
 func (g *Group) Handler() (string, http.Handler) {
 	server := enginepb.NewEnginesServer(&service{g: g})
 	return server.PathPrefix(), server
@@ -305,7 +311,7 @@
 		Except:       in.GetExcept(),
 		Homes:        in.GetHomes(),
 	}
-	place := s.g.placeHere(s.g.shardNamed(in.GetService()), p, reportsOf(in.GetReports()))
+	place := s.g.placeLocally(s.g.resolveShard(in.GetService()), p, reportsFromMessages(in.GetReports()))
 	reply := &enginepb.PlaceReply{Instance: place.Instance, WaitMs: place.Wait.Milliseconds(), ExpectedMs: place.Expected.Milliseconds()}
 	if place.Source.IsValid() {
 		source, err := place.Source.MarshalBinary()
@@ -317,16 +323,16 @@
 	return reply, nil
 }
 
-// Report takes in how prompts of other hosts went.
+// Report applies reports from another host.
 func (s *service) Report(_ context.Context, in *enginepb.ReportRequest) (*enginepb.ReportReply, error) {
-	if len(in.GetReports()) > reportsMost {
+	if len(in.GetReports()) > maxReports {
 		return nil, twirp.InvalidArgumentError("reports", "too many")
 	}
-	s.g.reportHere(s.g.shardNamed(in.GetService()), reportsOf(in.GetReports()))
+	s.g.reportLocally(s.g.resolveShard(in.GetService()), reportsFromMessages(in.GetReports()))
 	return &enginepb.ReportReply{}, nil
 }
 
-func promptMessage(shard string, p placing.Prompt, reports []placing.Report) *enginepb.PlaceRequest {
+func placeRequest(shard string, p placing.Prompt, reports []placing.Report) *enginepb.PlaceRequest {
 	m := &enginepb.PlaceRequest{
 		Service:      shard,
 		First:        p.First,
@@ -354,7 +360,7 @@
 	return messages
 }
 
-func reportsOf(messages []*enginepb.Report) []placing.Report {
+func reportsFromMessages(messages []*enginepb.Report) []placing.Report {
 	reports := make([]placing.Report, 0, len(messages))
 	for _, r := range messages {
 		reports = append(reports, placing.Report{
