--- a/internal/suspect/book.go
+++ b/internal/suspect/book.go
@@ -10,44 +10,45 @@
 )
 
 const (
-	// suspectAfter servers that ended under a request make it a suspect: one or two do
-	// so under many requests when servers crash for another reason.
-	suspectAfter = 3
-	// triesMost is how often a suspect is tried after that. A request that lay on three
-	// servers which crashed for another reason is served by the first that lives; one
-	// that ends servers ends two more.
-	triesMost = 2
-	// keptFirst is how long a request is kept from servers that ended all of them, and
-	// doubles with each one more, up to keptMost: it is tried once after each time.
-	keptFirst = 10 * time.Minute
-	keptMost  = 40 * time.Minute
-	// remembered is how long the end of a server is remembered, above keptMost, and
-	// rememberedAlone the same of the one under a request: most requests that lay on a
-	// server that ended never come again.
-	remembered      = time.Hour
-	rememberedAlone = 10 * time.Minute
-	// EndsMost bounds the ends in a book, 0.5 MB. 160 engines that crash with ten
-	// requests each make 1,600.
+	// suspectThreshold is how many servers must have ended under a request for it to become
+	// a suspect. One or two end under many requests when servers crash for another reason.
+	suspectThreshold = 3
+	// maxTries is how often a suspect is tried before it is quarantined. An innocent request
+	// on three servers that crashed for another reason is answered by the first healthy
+	// server; a harmful request ends two more servers.
+	maxTries = 2
+	// initialQuarantine is how long a request is refused after its tries have ended servers.
+	// It is tried once after that. Each further server that ends doubles the quarantine, up
+	// to maxQuarantine.
+	initialQuarantine = 10 * time.Minute
+	maxQuarantine     = 40 * time.Minute
+	// endTTL is how long an end is stored; it must exceed maxQuarantine. singleEndTTL
+	// applies to the only end under a request, since most requests that were on a server
+	// when it ended are never seen again.
+	endTTL       = time.Hour
+	singleEndTTL = 10 * time.Minute
+	// EndsMost is the most ends in a book, which take 0.5 MB. 160 engines that crash with
+	// ten requests each cause 1,600 ends.
 	EndsMost = 4096
-	// endsLeft is how many are left of too many, so that not each one more costs a
-	// look at all.
-	endsLeft = EndsMost * 7 / 8
+	// endsAfterEviction is how many ends an eviction leaves. It is below EndsMost so that
+	// not every further end scans all of them.
+	endsAfterEviction = EndsMost * 7 / 8
 )
 
-// State is what may be done with a request.
+// State is how a request may be handled.
 type State int
 
-// The states there are.
+// The states of a request.
 const (
-	// Free requests are served.
+	// Free requests are served normally.
 	Free State = iota
-	// Suspected ones are sent to one server at a time.
+	// Suspected requests are sent to one server at a time.
 	Suspected
-	// Kept ones are refused.
+	// Kept requests are quarantined: they are refused.
 	Kept
 )
 
-// String returns the state as logs show it.
+// String returns the state as it appears in logs.
 func (s State) String() string {
 	switch s {
 	case Suspected:
@@ -59,28 +60,29 @@
 	}
 }
 
-// Verdict is what a book says of a request.
+// Verdict is the assessment of a request.
 type Verdict struct {
 	State State
-	// Ends is how many servers ended under the request, Counted how many of those are
-	// put down to it.
+	// Ends is how many servers ended under the request, and Counted how many of these ends
+	// are attributed to it.
 	Ends    int
 	Counted int
-	// Until is when a request that is kept may be tried again.
+	// Until is when a quarantined request may be tried again.
 	Until time.Time
 }
 
-// Book has the servers that ended under requests, as told by all hosts. Two books that
-// were told the same hold the same, in whichever order they were. It is not safe for
-// concurrent use.
+// Book stores the ends of servers under requests that all hosts have reported. It is a
+// replicated set: books that merged the same ends are equal, whatever the order. It is not
+// safe for concurrent use.
 type Book struct {
-	// requests has the ends under each request; none is empty.
+	// requests holds the ends under each request. It has no empty entries.
 	requests map[Digest]map[Server]*End
-	// servers has the requests that lay on each server; none is empty.
+	// servers holds the requests that were on each server when it ended. It has no empty
+	// entries.
 	servers map[Server]map[Digest]bool
-	// count is how many ends there are, at most EndsMost.
+	// count is the number of ends, at most EndsMost.
 	count int
-	// sum combines all ends.
+	// sum is the exclusive or of the checksums of all ends.
 	sum uint64
 }
 
@@ -89,38 +91,39 @@
 	return &Book{requests: make(map[Digest]map[Server]*End), servers: make(map[Server]map[Digest]bool)}
 }
 
-// Len returns how many ends the book has.
+// Len returns the number of ends.
 func (b *Book) Len() int { return b.count }
 
-// Sum returns a number that is the same for books with the same ends.
+// Sum returns a checksum that is equal for books with the same ends.
 func (b *Book) Sum() uint64 { return b.sum }
 
-// Merge takes ends in and returns those that told anything new.
+// Merge adds ends and returns those that are new or that differ from the known end in more
+// than the time. Expired ends are ignored.
 func (b *Book) Merge(now time.Time, ends ...End) []End {
-	var news []End
+	var changed []End
 	for _, e := range ends {
-		if now.Sub(e.At) >= remembered {
+		if now.Sub(e.At) >= endTTL {
 			continue
 		}
 		old := b.requests[e.Request][e.Server]
 		if old == nil {
-			b.add(e)
-			news = append(news, e)
+			b.insert(e)
+			changed = append(changed, e)
 			continue
 		}
 		b.sum ^= old.sum()
 		if old.merge(e) {
-			news = append(news, *old)
+			changed = append(changed, *old)
 		}
 		b.sum ^= old.sum()
 	}
 	if b.count > EndsMost {
-		b.shrink()
+		b.evict()
 	}
-	return slices.DeleteFunc(news, func(e End) bool { return b.requests[e.Request][e.Server] == nil })
+	return slices.DeleteFunc(changed, func(e End) bool { return b.requests[e.Request][e.Server] == nil })
 }
 
-func (b *Book) add(e End) {
+func (b *Book) insert(e End) {
 	if b.requests[e.Request] == nil {
 		b.requests[e.Request] = make(map[Server]*End)
 	}
@@ -133,7 +136,7 @@
 	b.sum ^= e.sum()
 }
 
-func (b *Book) drop(e *End) {
+func (b *Book) remove(e *End) {
 	delete(b.requests[e.Request], e.Server)
 	if len(b.requests[e.Request]) == 0 {
 		delete(b.requests, e.Request)
@@ -146,8 +149,8 @@
 	b.sum ^= e.sum()
 }
 
-// Clear notes that a server has answered a request whole: it is not what ended the
-// others. It returns the ends that were put down to it.
+// Clear records that a server has answered a request completely, so that the request is
+// not the cause of its ends. It returns the ends that were not yet cleared.
 func (b *Book) Clear(digest Digest) []End {
 	var cleared []End
 	for _, e := range b.requests[digest] {
@@ -162,39 +165,39 @@
 	return cleared
 }
 
-// Forget drops the ends that are too old.
+// Forget removes expired ends.
 func (b *Book) Forget(now time.Time) {
 	for _, ends := range b.requests {
-		life := remembered
+		ttl := endTTL
 		if len(ends) == 1 {
-			life = rememberedAlone
+			ttl = singleEndTTL
 		}
 		for _, e := range ends {
-			if now.Sub(e.At) >= life {
-				b.drop(e)
+			if now.Sub(e.At) >= ttl {
+				b.remove(e)
 			}
 		}
 	}
 }
 
-// shrink drops ends until some less than the most are left: of the requests with the
-// fewest, the oldest.
-func (b *Book) shrink() {
+// evict removes ends until endsAfterEviction are left. It removes those of requests with
+// the fewest ends first, and of these the oldest.
+func (b *Book) evict() {
 	type candidate struct {
-		end    *End
-		fellow int
+		end         *End
+		requestEnds int
 	}
 	all := make([]candidate, 0, b.count)
 	for _, ends := range b.requests {
 		for _, e := range ends {
-			all = append(all, candidate{end: e, fellow: len(ends)})
+			all = append(all, candidate{end: e, requestEnds: len(ends)})
 		}
 	}
 	slices.SortFunc(all, func(x, y candidate) int {
-		return cmp.Or(cmp.Compare(x.fellow, y.fellow), x.end.At.Compare(y.end.At))
+		return cmp.Or(cmp.Compare(x.requestEnds, y.requestEnds), x.end.At.Compare(y.end.At))
 	})
-	for _, c := range all[:b.count-endsLeft] {
-		b.drop(c.end)
+	for _, c := range all[:b.count-endsAfterEviction] {
+		b.remove(c.end)
 	}
 }
 
@@ -209,17 +212,18 @@
 	return all
 }
 
-// strength is how much speaks for a request having ended the servers it lay on.
-type strength struct {
-	// alone says that a server ended under it with no other request on it, ends how many
-	// ended under it; neither counts what was cleared.
+// evidence is how strongly the ends under a request suggest that the request caused them.
+type evidence struct {
+	// alone says that a server ended when this was its only request. ends is how many servers
+	// ended under the request. Cleared ends do not count for either.
 	alone bool
 	ends  int
 }
 
-// compare orders strengths: what ended a server alone goes before all that did not, so
-// that what merely lay beside several harmful requests never outweighs any of them.
-func (s strength) compare(other strength) int {
+// compare orders evidence by strength. A request that was alone on a server ranks above all
+// that never were, so that a request that only shared servers with several harmful requests
+// never outweighs any of them.
+func (s evidence) compare(other evidence) int {
 	if s.alone != other.alone {
 		if s.alone {
 			return 1
@@ -229,21 +233,22 @@
 	return cmp.Compare(s.ends, other.ends)
 }
 
-func (b *Book) strength(digest Digest) strength {
-	var s strength
+// evidence returns the evidence against a request.
+func (b *Book) evidence(digest Digest) evidence {
+	var s evidence
 	for _, e := range b.requests[digest] {
 		if e.Cleared {
 			continue
 		}
 		s.ends++
-		s.alone = s.alone || b.alone(e)
+		s.alone = s.alone || b.soleRequest(e)
 	}
 	return s
 }
 
-// alone reports whether no other request lay on the server that ended, but for those
-// that were cleared.
-func (b *Book) alone(e *End) bool {
+// soleRequest reports whether the server of an end had no other request, apart from
+// cleared ones.
+func (b *Book) soleRequest(e *End) bool {
 	for other := range b.servers[e.Server] {
 		if other != e.Request && !b.requests[other][e.Server].Cleared {
 			return false
@@ -252,30 +257,30 @@
 	return true
 }
 
-// Of returns what is to be done with a request.
+// Of returns the verdict on a request.
 func (b *Book) Of(now time.Time, digest Digest) Verdict {
 	ends := b.requests[digest]
 	v := Verdict{Ends: len(ends)}
-	if v.Ends < suspectAfter {
+	if v.Ends < suspectThreshold {
 		return v
 	}
-	var last time.Time
-	mine := b.strength(digest)
+	var lastEnd time.Time
+	ownEvidence := b.evidence(digest)
 	for _, e := range ends {
-		if e.Cleared || b.otherDid(e, mine) {
+		if e.Cleared || b.attributedToOther(e, ownEvidence) {
 			continue
 		}
 		v.Counted++
-		if e.At.After(last) {
-			last = e.At
+		if e.At.After(lastEnd) {
+			lastEnd = e.At
 		}
 	}
-	if v.Counted < suspectAfter {
+	if v.Counted < suspectThreshold {
 		return v
 	}
 	v.State = Suspected
-	if over := v.Counted - suspectAfter - triesMost; over >= 0 {
-		v.Until = last.Add(min(keptFirst<<min(over, 8), keptMost))
+	if excess := v.Counted - suspectThreshold - maxTries; excess >= 0 {
+		v.Until = lastEnd.Add(min(initialQuarantine<<min(excess, 8), maxQuarantine))
 		if now.Before(v.Until) {
 			v.State = Kept
 		}
@@ -283,28 +288,28 @@
 	return v
 }
 
-// otherDid reports whether an end is put down to another request that lay on the same
-// server: a stronger one, or one as strong whose answer had not begun there while this
-// one's had. What merely lay on servers that other requests end over and over is so never
-// suspected for those.
-func (b *Book) otherDid(e *End, mine strength) bool {
+// attributedToOther reports whether an end is attributed to another request on the same
+// server: one with stronger evidence, or one with equal evidence whose answer had not begun
+// while the answer of e's request had. A request that only shares servers with harmful
+// requests is therefore not suspected for the ends that they cause.
+func (b *Book) attributedToOther(e *End, ownEvidence evidence) bool {
 	for other := range b.servers[e.Server] {
 		if other == e.Request {
 			continue
 		}
-		theirs := b.requests[other][e.Server]
-		if theirs.Cleared {
+		otherEnd := b.requests[other][e.Server]
+		if otherEnd.Cleared {
 			continue
 		}
-		stronger := b.strength(other).compare(mine)
-		if stronger > 0 || stronger == 0 && e.Answered && !theirs.Answered {
+		stronger := b.evidence(other).compare(ownEvidence)
+		if stronger > 0 || stronger == 0 && e.Answered && !otherEnd.Answered {
 			return true
 		}
 	}
 	return false
 }
 
-// Entry is what a dump shows of a request.
+// Entry is the state of a request in the diagnostic dump.
 type Entry struct {
 	Digest  Digest    `json:"digest"`
 	State   string    `json:"state"`
@@ -314,8 +319,8 @@
 	Until   time.Time `json:"until,omitzero"`
 }
 
-// Entries returns up to most requests under which more than one server ended, those
-// with the most first.
+// Entries returns up to most requests under which more than one server ended, those with
+// the most ends first.
 func (b *Book) Entries(now time.Time, most int) []Entry {
 	var entries []Entry
 	for digest, ends := range b.requests {
--- a/internal/suspect/book_test.go
+++ b/internal/suspect/book_test.go
@@ -15,33 +15,33 @@
 
 var start = time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// ended returns the end of a server under a request, so long after the start.
-func ended(request suspect.Digest, server int, after time.Duration) suspect.End {
+// endOf returns the end of a server under a request, at the given time after start.
+func endOf(request suspect.Digest, server int, after time.Duration) suspect.End {
 	return suspect.End{Request: request, Server: suspect.Server(server), At: start.Add(after)}
 }
 
-// endsUnder returns the ends of so many servers under a request, a second apart.
+// endsUnder returns the ends of several servers under a request, one second apart.
 func endsUnder(request suspect.Digest, servers int) []suspect.End {
 	var ends []suspect.End
 	for i := range servers {
-		ends = append(ends, ended(request, i, time.Duration(i)*time.Second))
+		ends = append(ends, endOf(request, i, time.Duration(i)*time.Second))
 	}
 	return ends
 }
 
-func TestARequestUnderWhichServersEndIsSuspectedAndThenKept(t *testing.T) {
+func TestRequestBecomesSuspectedThenQuarantined(t *testing.T) {
 	b := suspect.NewBook()
 	now := start.Add(10 * time.Second)
 	for i, want := range []suspect.State{suspect.Free, suspect.Free, suspect.Suspected, suspect.Suspected, suspect.Kept} {
-		b.Merge(now, ended(1, i, time.Duration(i)*time.Second))
-		b.Merge(now, ended(1, i, time.Duration(i)*time.Second))
+		b.Merge(now, endOf(1, i, time.Duration(i)*time.Second))
+		b.Merge(now, endOf(1, i, time.Duration(i)*time.Second))
 		assert.Equal(t, b.Of(now, 1).State, want, "%d servers ended", i+1)
 	}
 	assert.Equal(t, b.Of(now, 2).State, suspect.Free)
 }
 
-// What is kept is tried once after a while, and let go of in the end.
-func TestWhatIsKeptEndsByItself(t *testing.T) {
+// A quarantined request may be tried once after each quarantine, and its ends expire.
+func TestQuarantineAndEndsExpire(t *testing.T) {
 	b := suspect.NewBook()
 	b.Merge(start.Add(5*time.Second), endsUnder(1, 5)...)
 	v := b.Of(start.Add(5*time.Second), 1)
@@ -50,23 +50,23 @@
 	assert.Equal(t, b.Of(v.Until, 1).State, suspect.Suspected)
 
 	b.Merge(v.Until, suspect.End{Request: 1, Server: 99, At: v.Until})
-	again := b.Of(v.Until, 1)
-	assert.Equal(t, again.State, suspect.Kept)
-	assert.Equal(t, again.Until, v.Until.Add(20*time.Minute))
+	second := b.Of(v.Until, 1)
+	assert.Equal(t, second.State, suspect.Kept)
+	assert.Equal(t, second.Until, v.Until.Add(20*time.Minute))
 
 	b.Forget(v.Until.Add(time.Hour))
 	assert.Equal(t, b.Len(), 0)
 	assert.Equal(t, b.Sum(), uint64(0))
 }
 
-func TestServersAloneUnderARequestAreForgottenSooner(t *testing.T) {
+func TestSingleEndOfRequestExpiresSooner(t *testing.T) {
 	b := suspect.NewBook()
-	b.Merge(start, ended(1, 1, 0), ended(2, 2, 0), ended(2, 3, 0))
+	b.Merge(start, endOf(1, 1, 0), endOf(2, 2, 0), endOf(2, 3, 0))
 	b.Forget(start.Add(10 * time.Minute))
 	assert.Equal(t, b.Len(), 2)
 }
 
-func TestAnAnswerClearsARequest(t *testing.T) {
+func TestClearResetsEndsOfRequest(t *testing.T) {
 	b := suspect.NewBook()
 	now := start.Add(10 * time.Second)
 	ends := endsUnder(1, 5)
@@ -75,19 +75,19 @@
 	assert.Equal(t, len(cleared), 5)
 	assert.Equal(t, b.Of(now, 1).State, suspect.Free)
 	assert.Equal(t, len(b.Clear(1)), 0)
-	// Hosts that have not heard of it tell of the ends once more.
+	// Hosts that do not know of the answer yet report the ends again.
 	b.Merge(now, ends...)
 	assert.Equal(t, b.Of(now, 1).State, suspect.Free)
-	// What comes later counts from the beginning.
-	b.Merge(now, ended(1, 10, 0), ended(1, 11, 0))
+	// Later ends count from zero again.
+	b.Merge(now, endOf(1, 10, 0), endOf(1, 11, 0))
 	assert.Equal(t, b.Of(now, 1).State, suspect.Free)
-	b.Merge(now, ended(1, 12, 0))
+	b.Merge(now, endOf(1, 12, 0))
 	assert.Equal(t, b.Of(now, 1).State, suspect.Suspected)
 }
 
-// A request that lay on ten servers which another one ended, and never was answered,
-// had as many ends against it as if it had ended them.
-func TestAnEndIsPutDownToTheRequestUnderWhichMostServersEnded(t *testing.T) {
+// A request that was never answered, and was on ten servers that another request ended, must
+// not be blamed for these ends.
+func TestEndIsAttributedToRequestWithMostEnds(t *testing.T) {
 	b := suspect.NewBook()
 	now := start.Add(20 * time.Second)
 	b.Merge(now, endsUnder(1, 12)...)
@@ -97,21 +97,21 @@
 	assert.Equal(t, v.State, suspect.Free)
 	assert.Equal(t, v.Ends, 10)
 	assert.Equal(t, v.Counted, 0)
-	// Once a server has answered the other one, it is not what ended them.
+	// Once a server has answered the other request, that request is not the cause.
 	b.Clear(1)
 	assert.Equal(t, b.Of(now, 2).State, suspect.Kept)
 }
 
-// A request lay on four servers of each of two others that ended five, one of them with
-// nothing else on it: its eight ends are theirs.
-func TestARequestBesideTwoThatEndServersAloneIsFree(t *testing.T) {
+// Two harmful requests end five servers each, one of them with no other request on it. A
+// third request is on the other four of each: its eight ends are attributed to the two.
+func TestRequestSharingServersWithTwoHarmfulOnesIsFree(t *testing.T) {
 	b := suspect.NewBook()
 	now := start.Add(20 * time.Second)
 	for server := range 10 {
 		harmful := suspect.Digest(1 + server/5)
-		b.Merge(now, ended(harmful, server, time.Duration(server)*time.Second))
+		b.Merge(now, endOf(harmful, server, time.Duration(server)*time.Second))
 		if server%5 > 0 {
-			b.Merge(now, ended(3, server, time.Duration(server)*time.Second))
+			b.Merge(now, endOf(3, server, time.Duration(server)*time.Second))
 		}
 	}
 	assert.Equal(t, b.Of(now, 1).State, suspect.Kept)
@@ -122,9 +122,9 @@
 	assert.Equal(t, v.Counted, 0)
 }
 
-// Of two requests that lay on the same servers, the one whose answers had begun there
-// ran when the other began.
-func TestARequestWhoseAnswerHadBegunIsSuspectedLast(t *testing.T) {
+// Of two requests on the same servers, the one whose answers had begun was already running
+// when the other began, so the other one is blamed.
+func TestRequestWhoseAnswerHadBegunIsNotBlamed(t *testing.T) {
 	b := suspect.NewBook()
 	now := start.Add(20 * time.Second)
 	b.Merge(now, endsUnder(1, 3)...)
@@ -136,49 +136,49 @@
 	assert.Equal(t, b.Of(now, 2).State, suspect.Free)
 }
 
-// Hosts hear of ends in any order, several times and by any way.
-func TestBooksThatWereToldTheSameHoldTheSame(t *testing.T) {
+// Hosts receive reports of ends in any order and several times.
+func TestMergeIsIndependentOfOrder(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	now := start.Add(time.Minute)
 	for range 200 {
-		var told []suspect.End
+		var reported []suspect.End
 		for range 30 {
-			e := ended(suspect.Digest(random.IntN(5)), random.IntN(8), time.Duration(random.IntN(60))*time.Second)
+			e := endOf(suspect.Digest(random.IntN(5)), random.IntN(8), time.Duration(random.IntN(60))*time.Second)
 			e.Answered, e.Cleared = random.IntN(2) == 0, random.IntN(8) == 0
-			told = append(told, e)
+			reported = append(reported, e)
 		}
-		one, other := suspect.NewBook(), suspect.NewBook()
-		one.Merge(now, told...)
-		random.Shuffle(len(told), func(i, j int) { told[i], told[j] = told[j], told[i] })
-		for _, e := range told {
-			other.Merge(now, e)
-			other.Merge(now, told[random.IntN(len(told))])
+		first, second := suspect.NewBook(), suspect.NewBook()
+		first.Merge(now, reported...)
+		random.Shuffle(len(reported), func(i, j int) { reported[i], reported[j] = reported[j], reported[i] })
+		for _, e := range reported {
+			second.Merge(now, e)
+			second.Merge(now, reported[random.IntN(len(reported))])
 		}
-		assert.Equal(t, one.Sum(), other.Sum())
-		assert.Equal(t, one.Len(), other.Len())
+		assert.Equal(t, first.Sum(), second.Sum())
+		assert.Equal(t, first.Len(), second.Len())
 		for d := range suspect.Digest(5) {
-			assert.DeepEqual(t, one.Of(now, d), other.Of(now, d))
+			assert.DeepEqual(t, first.Of(now, d), second.Of(now, d))
 		}
 	}
 }
 
-func TestABookIsBounded(t *testing.T) {
+func TestBookEvictsEndsBeyondLimit(t *testing.T) {
 	b := suspect.NewBook()
 	now := start.Add(time.Second)
 	b.Merge(now, endsUnder(1, 5)...)
 	for i := range 2 * suspect.EndsMost {
-		b.Merge(now, ended(suspect.Digest(10+i), 100+i%7, 0))
+		b.Merge(now, endOf(suspect.Digest(10+i), 100+i%7, 0))
 	}
 	assert.Assert(t, b.Len() <= suspect.EndsMost && b.Len() > suspect.EndsMost/2, "%d ends", b.Len())
 	assert.Equal(t, len(b.Ends()), b.Len())
-	assert.Equal(t, b.Of(now, 1).State, suspect.Kept, "the request with most ends was dropped")
+	assert.Equal(t, b.Of(now, 1).State, suspect.Kept, "the request with the most ends was evicted")
 }
 
-func TestEntriesTellOfRequestsUnderWhichSeveralServersEnded(t *testing.T) {
+func TestEntriesListsRequestsWithSeveralEnds(t *testing.T) {
 	b := suspect.NewBook()
 	now := start.Add(10 * time.Second)
 	b.Merge(now, endsUnder(1, 5)...)
-	b.Merge(now, ended(2, 50, 0), ended(2, 51, 0), ended(3, 52, 0))
+	b.Merge(now, endOf(2, 50, 0), endOf(2, 51, 0), endOf(3, 52, 0))
 	entries := b.Entries(now, 10)
 	assert.Equal(t, len(entries), 2)
 	assert.Equal(t, entries[0].Digest, suspect.Digest(1))
@@ -187,7 +187,7 @@
 	assert.Equal(t, len(b.Entries(now, 1)), 1)
 }
 
-func TestOneTryOfARequestAtATime(t *testing.T) {
+func TestTriesAllowsOneTryPerRequest(t *testing.T) {
 	tries := suspect.NewTries()
 	assert.Assert(t, tries.Begin(start, 1))
 	assert.Assert(t, !tries.Begin(start, 1))
@@ -197,53 +197,53 @@
 	assert.Assert(t, tries.Begin(start.Add(time.Minute), 1), "a try whose outcome was never told goes on")
 }
 
-// FuzzBook tells books whatever may come from other hosts, in any order.
+// FuzzBook checks the invariants of books with arbitrary ends in any order.
 func FuzzBook(f *testing.F) {
 	f.Add([]byte{1, 2, 3, 0, 1, 3, 3, 1, 1, 4, 3, 2})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		one, other := suspect.NewBook(), suspect.NewBook()
+		first, second := suspect.NewBook(), suspect.NewBook()
 		now := start.Add(2 * time.Hour)
-		var told []suspect.End
+		var reported []suspect.End
 		for ; len(data) >= 4; data = data[4:] {
-			e := ended(suspect.Digest(data[0]%8), int(data[1]%16), time.Duration(data[2])*time.Minute)
+			e := endOf(suspect.Digest(data[0]%8), int(data[1]%16), time.Duration(data[2])*time.Minute)
 			e.Answered, e.Cleared = data[3]&1 != 0, data[3]&2 != 0
-			told = append(told, e)
-			one.Merge(now, e)
+			reported = append(reported, e)
+			first.Merge(now, e)
 		}
-		other.Merge(now, told...)
-		other.Merge(now, one.Ends()...)
-		if one.Sum() != other.Sum() || one.Len() != other.Len() || one.Len() != len(one.Ends()) {
-			t.Fatalf("%d and %d ends", one.Len(), other.Len())
+		second.Merge(now, reported...)
+		second.Merge(now, first.Ends()...)
+		if first.Sum() != second.Sum() || first.Len() != second.Len() || first.Len() != len(first.Ends()) {
+			t.Fatalf("%d and %d ends", first.Len(), second.Len())
 		}
 		for d := range suspect.Digest(8) {
-			v := one.Of(now, d)
+			v := first.Of(now, d)
 			if v.Counted > v.Ends || v.State == suspect.Kept && !now.Before(v.Until) {
 				t.Fatalf("%+v", v)
 			}
 		}
-		one.Forget(now.Add(7 * time.Hour))
-		if one.Len() != 0 || one.Sum() != 0 {
-			t.Fatalf("%d ends are never forgotten", one.Len())
+		first.Forget(now.Add(7 * time.Hour))
+		if first.Len() != 0 || first.Sum() != 0 {
+			t.Fatalf("%d ends are never forgotten", first.Len())
 		}
 	})
 }
 
-// Engines that all crash with ten requests each.
+// The benchmarks simulate 160 engines that all crash with ten requests each.
 const (
 	crashedServers  = 160
 	crashedRequests = 10
 )
 
-func crashed() []suspect.End {
+func crashEnds() []suspect.End {
 	var ends []suspect.End
 	for i := range crashedServers * crashedRequests {
-		ends = append(ends, ended(suspect.Digest(i), i/crashedRequests, 0))
+		ends = append(ends, endOf(suspect.Digest(i), i/crashedRequests, 0))
 	}
 	return ends
 }
 
-func BenchmarkMergeACrashOfAll(b *testing.B) {
-	ends := crashed()
+func BenchmarkMergeCrashOfAllServers(b *testing.B) {
+	ends := crashEnds()
 	for b.Loop() {
 		suspect.NewBook().Merge(start, ends...)
 	}
@@ -251,7 +251,7 @@
 
 func BenchmarkOf(b *testing.B) {
 	book := suspect.NewBook()
-	book.Merge(start, crashed()...)
+	book.Merge(start, crashEnds()...)
 	book.Merge(start, endsUnder(5, 6)...)
 	for b.Loop() {
 		book.Of(start, 5)
--- a/internal/suspect/digest.go
+++ b/internal/suspect/digest.go
@@ -12,11 +12,10 @@
 	"strconv"
 )
 
-// Digest names a request over all its attempts, at whichever host they arrive. 0 is
-// none.
+// Digest identifies a request across all its attempts and hosts. 0 means none.
 type Digest uint64
 
-// Content is what makes two requests the same.
+// Content is what identifies a request. Two requests with equal contents are the same.
 type Content struct {
 	Workspace string
 	Method    string
@@ -26,8 +25,8 @@
 	Body   []byte
 }
 
-// DigestOf returns the digest of a request. It takes a cryptographic hash, since a
-// workspace that could make a body of another's digest could have it refused.
+// DigestOf returns the digest of a request. It uses a cryptographic hash: a workspace that
+// could construct a body with the digest of another's request could have that refused.
 func DigestOf(c Content) Digest {
 	h := sha256.New()
 	for _, field := range []string{c.Workspace, c.Method, c.Host, c.Target} {
@@ -39,17 +38,17 @@
 	return Digest(binary.LittleEndian.Uint64(h.Sum(nil)))
 }
 
-// String returns the digest as logs show it.
+// String returns the digest in hexadecimal, as it appears in logs.
 func (d Digest) String() string {
 	return fmt.Sprintf("%016x", uint64(d))
 }
 
-// MarshalJSON writes the digest as logs show it.
+// MarshalJSON encodes the digest as its String.
 func (d Digest) MarshalJSON() ([]byte, error) {
 	return json.Marshal(d.String())
 }
 
-// UnmarshalJSON reads what MarshalJSON writes.
+// UnmarshalJSON decodes the form that MarshalJSON writes.
 func (d *Digest) UnmarshalJSON(data []byte) error {
 	var text string
 	if err := json.Unmarshal(data, &text); err != nil {
--- a/internal/suspect/digest_test.go
+++ b/internal/suspect/digest_test.go
@@ -12,7 +12,7 @@
 	"github.com/wingvale/wingvale/internal/suspect"
 )
 
-func TestADigestTellsRequestsApartByAllThatMakesThemTheSame(t *testing.T) {
+func TestDigestDependsOnAllFieldsOfContent(t *testing.T) {
 	base := suspect.Content{Workspace: "w", Method: "POST", Host: "h", Target: "/a/b", Body: []byte("x")}
 	others := []suspect.Content{
 		{Workspace: "v", Method: "POST", Host: "h", Target: "/a/b", Body: []byte("x")},
@@ -20,7 +20,7 @@
 		{Workspace: "w", Method: "POST", Host: "i", Target: "/a/b", Body: []byte("x")},
 		{Workspace: "w", Method: "POST", Host: "h", Target: "/a/c", Body: []byte("x")},
 		{Workspace: "w", Method: "POST", Host: "h", Target: "/a/b", Body: []byte("y")},
-		// The fields' bytes in a row are the same here.
+		// The concatenation of the fields is the same as for base.
 		{Workspace: "w", Method: "POST", Host: "h", Target: "/a/", Body: []byte("bx")},
 	}
 	same := base
@@ -31,14 +31,14 @@
 	}
 }
 
-func TestADigestIsReadAsItIsWritten(t *testing.T) {
+func TestDigestRoundTripsThroughJSON(t *testing.T) {
 	d := suspect.DigestOf(suspect.Content{Workspace: "w"})
 	data, err := json.Marshal(d)
 	assert.NilError(t, err)
 	assert.Equal(t, string(data), `"`+d.String()+`"`)
-	var read suspect.Digest
-	assert.NilError(t, json.Unmarshal(data, &read))
-	assert.Equal(t, read, d)
-	assert.ErrorContains(t, json.Unmarshal([]byte(`"x"`), &read), "digest")
-	assert.ErrorContains(t, json.Unmarshal([]byte(`1`), &read), "digest")
+	var decoded suspect.Digest
+	assert.NilError(t, json.Unmarshal(data, &decoded))
+	assert.Equal(t, decoded, d)
+	assert.ErrorContains(t, json.Unmarshal([]byte(`"x"`), &decoded), "digest")
+	assert.ErrorContains(t, json.Unmarshal([]byte(`1`), &decoded), "digest")
 }
--- a/internal/suspect/doc.go
+++ b/internal/suspect/doc.go
@@ -1,6 +1,8 @@
 // Copyright 2026 The Wingvale Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package suspect tells requests under which backend servers end from those that only
-// lay on servers that ended. It decides, and knows neither network nor log.
+// Package suspect identifies harmful requests: those that make backend servers crash, as
+// opposed to those that were only on a server when it crashed. A server that stops under a
+// request, for whatever reason, has ended under it. The package only decides; it does no
+// network communication and no logging.
 package suspect
--- a/internal/suspect/end.go
+++ b/internal/suspect/end.go
@@ -10,30 +10,29 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Server names one run of a backend server.
+// Server identifies one run of a backend server.
 type Server uint64
 
-// ServerOf returns the name of a run of a backend server.
+// ServerOf returns the identifier of the run with the given instance name.
 func ServerOf(instance string) Server {
 	return Server(xxhash.Sum64String(instance))
 }
 
-// End is a backend server that ended while it had a request.
+// End records that a run of a backend server ended while it was handling a request.
 type End struct {
 	Request Digest
 	Server  Server
-	// Answered says that the answer had begun. Of what several hosts saw, that it had
-	// not goes first.
+	// Answered says that the answer had begun. If hosts disagree, false wins.
 	Answered bool
-	// Cleared says that a server has answered the request whole since: the end does not
-	// count against it. It is never taken back.
+	// Cleared says that a server has since answered the request completely, so that the end
+	// does not count against the request. It is never reset.
 	Cleared bool
-	// At is when the server ended, the earliest that was told.
+	// At is when the server ended: the earliest time that a host reported.
 	At time.Time
 }
 
-// merge takes in what another host saw of the same end, and reports whether it told
-// anything but the time.
+// merge merges another host's report of the same end, and reports whether anything but the
+// time has changed.
 func (e *End) merge(other End) bool {
 	old := *e
 	e.Answered = e.Answered && other.Answered
@@ -44,7 +43,7 @@
 	return e.Answered != old.Answered || e.Cleared != old.Cleared
 }
 
-// sum returns what the end adds to the sum of a book.
+// sum returns the checksum of the end, which does not cover its time.
 func (e *End) sum() uint64 {
 	var b [18]byte
 	binary.LittleEndian.PutUint64(b[:], uint64(e.Request))
--- a/internal/suspect/tries.go
+++ b/internal/suspect/tries.go
@@ -5,38 +5,39 @@
 
 import "time"
 
-// tryFor is how long one try keeps others of the same request waiting whose outcome is
-// not told: as long as callers wait for a first event at most times, and an end is heard
-// of within.
-const tryFor = 3 * time.Second
+// tryTimeout is how long a try without a reported outcome blocks further tries of the same
+// request. Most callers wait that long for a first event, and the end of a server is
+// reported within that time.
+const tryTimeout = 3 * time.Second
 
-// Tries has the suspected requests that are being tried, one at a time. It is not safe
-// for concurrent use.
+// Tries tracks the tries of suspected requests and allows one at a time for each request.
+// It is not safe for concurrent use.
 type Tries struct {
-	// until has when each try ends by itself.
-	until map[Digest]time.Time
+	// expiresAt holds when each try times out.
+	expiresAt map[Digest]time.Time
 }
 
-// NewTries returns one without tries.
+// NewTries returns a Tries without any try.
 func NewTries() *Tries {
-	return &Tries{until: make(map[Digest]time.Time)}
+	return &Tries{expiresAt: make(map[Digest]time.Time)}
 }
 
-// Begin begins a try unless there is one.
+// Begin begins a try and reports true, unless a try of the request is in progress or
+// EndsMost tries are.
 func (t *Tries) Begin(now time.Time, digest Digest) bool {
-	for d, until := range t.until {
-		if !now.Before(until) {
-			delete(t.until, d)
+	for d, expiresAt := range t.expiresAt {
+		if !now.Before(expiresAt) {
+			delete(t.expiresAt, d)
 		}
 	}
-	if _, ok := t.until[digest]; ok || len(t.until) >= EndsMost {
+	if _, ok := t.expiresAt[digest]; ok || len(t.expiresAt) >= EndsMost {
 		return false
 	}
-	t.until[digest] = now.Add(tryFor)
+	t.expiresAt[digest] = now.Add(tryTimeout)
 	return true
 }
 
-// End ends a try.
+// End ends the try of a request, if any.
 func (t *Tries) End(digest Digest) {
-	delete(t.until, digest)
+	delete(t.expiresAt, digest)
 }
