--- a/internal/trial/group.go
+++ b/internal/trial/group.go
@@ -17,121 +17,126 @@
 	"github.com/wingvale/wingvale/internal/suspect"
 )
 
-// ownersTried bounds how many hosts are asked for a try.
-const ownersTried = 2
+// maxOwnersTried is how many hosts are asked for a try before this host decides itself.
+const maxOwnersTried = 2
 
-// Options are a Group's dependencies; all are needed.
+// Options holds the dependencies of a Group. All are required.
 type Options struct {
 	Owners *owner.Finder
-	// Spread hands ends on to other hosts.
+	// Spread sends ends to the other hosts.
 	Spread func(ends []suspect.End)
-	// Ask asks a host to allow a try, and Tell tells it that the try is over.
+	// Ask asks a host to grant a try. Tell notifies it that the try is over.
 	Ask   func(ctx context.Context, peer netip.AddrPort, digest suspect.Digest) (bool, error)
 	Tell  func(peer netip.AddrPort, digest suspect.Digest)
 	Log   logrus.FieldLogger
 	Scope tally.Scope
 }
 
-// Group is what one host knows of suspected requests. It is safe for concurrent use.
+// Group is one host's record of the ends of servers under requests and of the tries that
+// it has granted. It is safe for concurrent use.
 type Group struct {
 	options Options
-	// ends is how many there are in the book. While there are none, no request waits
-	// for the mutex.
+	// ends is the number of ends in the book. While it is 0, no request has to lock the
+	// mutex.
 	ends atomic.Int64
 
 	mu    sync.Mutex
 	book  *suspect.Book
 	tries *suspect.Tries
-	// told has the state of requests as it was logged last, where it is not free.
-	told map[suspect.Digest]suspect.State
+	// loggedStates holds the state last logged of each request, unless that is free.
+	loggedStates map[suspect.Digest]suspect.State
 }
 
-// New returns a group that knows of no ends.
+// New returns a group without ends.
 func New(options Options) *Group {
-	return &Group{options: options, book: suspect.NewBook(), tries: suspect.NewTries(), told: make(map[suspect.Digest]suspect.State)}
+	return &Group{options: options, book: suspect.NewBook(), tries: suspect.NewTries(), loggedStates: make(map[suspect.Digest]suspect.State)}
 }
 
-// Sum returns a number that is the same for hosts that know the same.
+// Sum returns a checksum that is equal for hosts that know the same ends.
 func (g *Group) Sum() uint64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.book.Sum()
 }
 
-// Ends returns all ends that are known.
+// Ends returns all known ends.
 func (g *Group) Ends() []suspect.End {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.book.Ends()
 }
 
-// Merge takes in ends that another host told of and returns those that were new.
+// Merge adds ends that another host reported, and returns those that are new or changed.
 func (g *Group) Merge(ends []suspect.End) []suspect.End {
 	now := time.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	news := g.book.Merge(now, ends...)
-	for _, e := range news {
-		// The outcome of a try is known.
+	changed := g.book.Merge(now, ends...)
+	for _, e := range changed {
+		// The end is the outcome of the request's try, if there is one.
 		g.tries.End(e.Request)
 	}
-	g.tell(now, news)
-	return news
+	g.recordChanges(now, changed)
+	return changed
 }
 
-// Ended takes in ends that this host saw.
+// Ended adds ends that this host has observed, and sends them to the other hosts.
 func (g *Group) Ended(ends []suspect.End) {
 	g.options.Spread(g.Merge(ends))
 }
 
-// Answered notes that a server has answered a request whole.
+// Answered records that a server has answered a request completely, and sends the cleared
+// ends to the other hosts.
 func (g *Group) Answered(digest suspect.Digest) {
 	if g.ends.Load() == 0 {
 		return
 	}
 	g.mu.Lock()
 	cleared := g.book.Clear(digest)
-	g.tell(time.Now(), cleared)
+	g.recordChanges(time.Now(), cleared)
 	g.mu.Unlock()
 	g.options.Spread(cleared)
 }
 
-// tell logs whose state has changed by ends, and counts what there is. The mutex must
-// be held.
-func (g *Group) tell(now time.Time, ends []suspect.End) {
+// recordChanges logs the requests whose state has changed by ends, and updates the counters
+// and gauges. The mutex must be held.
+func (g *Group) recordChanges(now time.Time, ends []suspect.End) {
 	g.ends.Store(int64(g.book.Len()))
 	g.options.Scope.Gauge("suspect_ends").Update(float64(g.book.Len()))
 	for _, e := range ends {
-		g.tellState(now, e.Request)
+		g.logState(now, e.Request)
 	}
-	// What is forgotten is told when it is asked for; the rest of the map is bounded.
-	if len(g.told) > suspect.EndsMost {
-		clear(g.told)
+	// A request whose ends have expired is removed from the map when it is next looked up;
+	// the map must be bounded as this may never happen.
+	if len(g.loggedStates) > suspect.EndsMost {
+		clear(g.loggedStates)
 	}
-	g.options.Scope.Gauge("suspect_requests").Update(float64(len(g.told)))
+	g.options.Scope.Gauge("suspect_requests").Update(float64(len(g.loggedStates)))
 }
 
-func (g *Group) tellState(now time.Time, digest suspect.Digest) suspect.Verdict {
+// logState returns the verdict on a request, and logs its state if that has changed. The
+// mutex must be held.
+func (g *Group) logState(now time.Time, digest suspect.Digest) suspect.Verdict {
 	v := g.book.Of(now, digest)
-	if v.State == g.told[digest] {
+	if v.State == g.loggedStates[digest] {
 		return v
 	}
 	log := g.options.Log.WithFields(logrus.Fields{
-		"digest": digest, "state": v.State, "before": g.told[digest], "ends": v.Ends, "counted": v.Counted,
+		"digest": digest, "state": v.State, "before": g.loggedStates[digest], "ends": v.Ends, "counted": v.Counted,
 	})
 	if v.State == suspect.Free {
-		delete(g.told, digest)
+		delete(g.loggedStates, digest)
 	} else {
-		g.told[digest] = v.State
+		g.loggedStates[digest] = v.State
 	}
 	if v.State == suspect.Kept {
 		log = log.WithField("for_ms", v.Until.Sub(now).Milliseconds())
 	}
-	log.Warn("what may be done with a request under which servers end")
+	log.Warn("state of a suspected request changed")
 	return v
 }
 
-// Of returns what is to be done with a request.
+// Of returns the verdict on a request.
 func (g *Group) Of(digest suspect.Digest) suspect.Verdict {
 	if g.ends.Load() == 0 {
 		return suspect.Verdict{}
@@ -139,10 +144,10 @@
 	now := time.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.tellState(now, digest)
+	return g.logState(now, digest)
 }
 
-// Forget lets go of what is too old. It must be called about once a second.
+// Forget removes expired ends. It must be called about once a second.
 func (g *Group) Forget() {
 	if g.ends.Load() == 0 {
 		return
@@ -151,10 +156,11 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.book.Forget(now)
-	g.tell(now, nil)
+	g.recordChanges(now, nil)
 }
 
-// Begin begins a try for another host, unless there is one or the request is kept.
+// Begin begins a try for another host and reports true, unless a try is in progress or the
+// request is quarantined.
 func (g *Group) Begin(digest suspect.Digest) bool {
 	now := time.Now()
 	g.mu.Lock()
@@ -162,17 +168,17 @@
 	return g.book.Of(now, digest).State != suspect.Kept && g.tries.Begin(now, digest)
 }
 
-// End ends a try.
+// End ends the try of a request.
 func (g *Group) End(digest suspect.Digest) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.tries.End(digest)
 }
 
-// Try begins a try of a suspected request where none is under way on any host. Over
-// ends it; a try that ended a server ends by itself.
+// Try begins a try of a suspected request, and reports false if one is in progress on any
+// host. The caller must call over at the end of the try, unless it ended a server.
 func (g *Group) Try(ctx context.Context, digest suspect.Digest) (over func(), ok bool) {
-	for _, p := range g.options.Owners.Others(digest.String(), ownersTried) {
+	for _, p := range g.options.Owners.Others(digest.String(), maxOwnersTried) {
 		granted, err := g.options.Ask(ctx, p.Control, digest)
 		if err == nil {
 			return func() { g.options.Tell(p.Control, digest) }, granted
@@ -187,7 +193,8 @@
 	return func() { g.End(digest) }, g.Begin(digest)
 }
 
-// State returns up to most requests under which several servers ended.
+// State returns up to most requests under which several servers ended, for the diagnostic
+// dump.
 func (g *Group) State(most int) []suspect.Entry {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/trial/group_test.go
+++ b/internal/trial/group_test.go
@@ -22,7 +22,7 @@
 	"github.com/wingvale/wingvale/internal/trial"
 )
 
-// hosts are the groups of some hosts that know each other.
+// hosts holds the groups of several hosts that are connected to each other.
 type hosts struct {
 	groups map[netip.AddrPort]*trial.Group
 	down   map[netip.AddrPort]bool
@@ -38,8 +38,8 @@
 	log.SetOutput(&h.log)
 	var peers []owner.Peer
 	for i := range count {
-		at := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i + 1)}), 1)
-		peers = append(peers, owner.Peer{Address: at, Control: at})
+		address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i + 1)}), 1)
+		peers = append(peers, owner.Peer{Address: address, Control: address})
 	}
 	var list []*trial.Group
 	live := owner.NewHosts(peers)
@@ -47,8 +47,8 @@
 		g := trial.New(trial.Options{
 			Owners: owner.NewFinder(p.Address, func() *owner.Hosts { return live }),
 			Spread: func(ends []suspect.End) {
-				for at, other := range h.groups {
-					if at != p.Address {
+				for address, other := range h.groups {
+					if address != p.Address {
 						other.Merge(ends)
 					}
 				}
@@ -73,25 +73,25 @@
 	return []suspect.End{{Request: digest, Server: suspect.ServerOf(fmt.Sprint("i-", server)), At: time.Now()}}
 }
 
-func TestAllHostsTryASuspectedRequestOneAtATime(t *testing.T) {
+func TestTriesOfRequestRunOneAtATimeAcrossHosts(t *testing.T) {
 	_, list := newHosts(4)
 	for i := range 3 {
 		list[i].Ended(endOf(1, i))
 	}
-	var over func()
-	begun := 0
+	var endTry func()
+	granted := 0
 	for _, g := range list {
 		assert.Equal(t, g.Of(1).State, suspect.Suspected)
 		if end, ok := g.Try(t.Context(), 1); ok {
-			begun++
-			over = end
+			granted++
+			endTry = end
 		}
 	}
-	assert.Equal(t, begun, 1)
-	over()
+	assert.Equal(t, granted, 1)
+	endTry()
 	_, ok := list[3].Try(t.Context(), 1)
 	assert.Assert(t, ok)
-	// The end of a server ends the try: its outcome is known.
+	// The end of a server ends the try.
 	list[0].Ended(endOf(1, 3))
 	_, ok = list[2].Try(t.Context(), 1)
 	assert.Assert(t, ok)
@@ -103,13 +103,13 @@
 	}
 }
 
-func TestATryIsDecidedWithoutTheOwnerWhereItIsDown(t *testing.T) {
+func TestTryIsGrantedLocallyWhenOwnersAreDown(t *testing.T) {
 	h, list := newHosts(4)
 	for i := range 3 {
 		list[i].Ended(endOf(1, i))
 	}
-	for at := range h.groups {
-		h.down[at] = true
+	for address := range h.groups {
+		h.down[address] = true
 	}
 	_, ok := list[1].Try(t.Context(), 1)
 	assert.Assert(t, ok)
@@ -117,8 +117,8 @@
 	assert.Assert(t, !ok)
 }
 
-// What was decided of a request shows in logs, metrics and the dump.
-func TestWhatIsDecidedOfARequestIsTold(t *testing.T) {
+// The state of a request must appear in logs, metrics and the diagnostic dump.
+func TestStateOfRequestIsLoggedAndReported(t *testing.T) {
 	h, list := newHosts(2)
 	for i := range 5 {
 		list[0].Ended(endOf(1, i))
