--- a/internal/notice/book.go
+++ b/internal/notice/book.go
@@ -15,113 +15,115 @@
 )
 
 const (
-	// RestMost bounds one rest: after it a request finds out whether the server still wants
-	// none, so that a wrong value doesn't leave it idle for ever.
+	// RestMost is the longest rest. After it, a request finds out whether the server still
+	// wants none, so that a wrong value cannot leave the server idle forever.
 	RestMost = 5 * time.Minute
-	// spreadShare of a rest, spreadMost at most, is how much later than it ends hosts
-	// come back, each at a moment of its own: the server answered them at about the
-	// same time.
-	spreadShare = 0.25
-	spreadMost  = 500 * time.Millisecond
-	// leavingFor is how long it is kept that a run leaves which is not listed any
-	// more; its entry may come back late.
-	leavingFor = time.Hour
-	// serversMost bounds the servers that something is held of.
-	serversMost = 8192
+	// Each host adds a random jitter to a rest, of up to jitterShare of its length and at
+	// most maxJitter. Without it, all hosts would send again at once, as the server answered
+	// them at about the same time.
+	jitterShare = 0.25
+	maxJitter   = 500 * time.Millisecond
+	// leavingTTL is how long a run that is no longer listed is remembered as leaving. Its
+	// list entry may reappear late.
+	leavingTTL = time.Hour
+	// maxServers is the most runs stored as leaving, and the most stored as resting.
+	maxServers = 8192
 )
 
-// Options are a Book's dependencies; all are needed.
+// Options holds the dependencies of a Book. All are required.
 type Options struct {
-	// Boot is the clock that goes on while the host is suspended: a server's rest does.
+	// Boot returns the time since boot, including time during which the host was suspended,
+	// because a server's rest goes on during a suspension.
 	Boot   func() time.Duration
 	Random *rand.Rand
 	Log    logrus.FieldLogger
 	Scope  tally.Scope
-	// Leaves is told, without the Book's lock, of each run that is newly known to
-	// leave and where that is from.
-	Leaves func(s Server, from Source)
+	// Leaves is called once for each run that is found to be leaving, with the source of
+	// the information. The Book's mutex is not held.
+	Leaves func(s Server, source Source)
 }
 
-// leave is that a run leaves.
-type leave struct {
-	from Source
-	// since is when that was heard, and listed when the run was last seen in the list or
-	// else heard of, by Boot.
-	since  time.Duration
-	listed time.Duration
+// leavingRecord records that a run is leaving.
+type leavingRecord struct {
+	source Source
+	// receivedAt is when the notice was received, and lastListedAt when the run was last in
+	// the server list, or receivedAt if it has not been since. Both are by Boot.
+	receivedAt   time.Duration
+	lastListedAt time.Duration
 }
 
-// rest is that a run wants nothing from this host.
-type rest struct {
-	// asked is when it said so last, and until when this host comes back, by Boot.
-	asked time.Duration
-	until time.Duration
+// restRecord records that a run wants no requests from this host for a while.
+type restRecord struct {
+	// askedAt is when the run last asked for a rest, and endsAt when this host may send to it
+	// again. Both are by Boot.
+	askedAt time.Duration
+	endsAt  time.Duration
 }
 
-// Book is what one host believes of backend servers by their own words. It is safe for
-// concurrent use.
+// Book stores which runs of backend servers are leaving or resting, according to the
+// servers' own notices. It is safe for concurrent use.
 type Book struct {
 	options Options
 
 	mu sync.Mutex
-	// leaving and resting are by instance, serversMost each at most. What is in resting
-	// may be over.
-	leaving map[string]*leave
-	resting map[string]rest
+	// leaving and resting are indexed by instance and have at most maxServers entries each.
+	// resting may contain rests that are over.
+	leaving map[string]*leavingRecord
+	resting map[string]restRecord
 }
 
-// NewBook returns a book that holds nothing.
+// NewBook returns an empty book.
 func NewBook(options Options) *Book {
-	return &Book{options: options, leaving: make(map[string]*leave), resting: make(map[string]rest)}
+	return &Book{options: options, leaving: make(map[string]*leavingRecord), resting: make(map[string]restRecord)}
 }
 
-// Heard takes in what an answer of a server tells of it.
+// Heard records the notice in an answer of a server.
 func (b *Book) Heard(s Server, n Notice) {
 	if n.Rest > 0 {
-		b.noteRest(s, n.Rest)
+		b.addRest(s, n.Rest)
 	}
 	if n.Leaving {
 		b.Left(s, SourceAnswer)
 	}
 }
 
-// Left takes in that a run leaves. What was heard first stays.
-func (b *Book) Left(s Server, from Source) {
-	if !b.noteLeaving(s, from) {
+// Left records that a run is leaving. Only the first notice of a run has an effect.
+func (b *Book) Left(s Server, source Source) {
+	if !b.addLeaving(s, source) {
 		return
 	}
-	b.options.Scope.Tagged(map[string]string{"source": string(from)}).Counter("notices_leaving").Inc(1)
-	b.options.Log.WithFields(logrus.Fields{"server": s.Instance, "address": s.Address, "source": from}).Info("a backend server leaves")
-	b.options.Leaves(s, from)
+	b.options.Scope.Tagged(map[string]string{"source": string(source)}).Counter("notices_leaving").Inc(1)
+	b.options.Log.WithFields(logrus.Fields{"server": s.Instance, "address": s.Address, "source": source}).Info("a backend server leaves")
+	b.options.Leaves(s, source)
 }
 
-// noteLeaving notes that a run leaves and reports whether that is new.
-func (b *Book) noteLeaving(s Server, from Source) bool {
+// addLeaving stores that a run is leaving, and reports whether that is new.
+func (b *Book) addLeaving(s Server, source Source) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.leaving[s.Instance] != nil {
 		return false
 	}
-	if len(b.leaving) >= serversMost {
+	if len(b.leaving) >= maxServers {
 		b.options.Scope.Counter("notices_dropped").Inc(1)
 		return false
 	}
 	now := b.options.Boot()
-	b.leaving[s.Instance] = &leave{from: from, since: now, listed: now}
+	b.leaving[s.Instance] = &leavingRecord{source: source, receivedAt: now, lastListedAt: now}
 	return true
 }
 
-// noteRest notes that a run wants nothing from this host. A shorter rest doesn't end a
-// longer one before its time.
-func (b *Book) noteRest(s Server, asked time.Duration) {
+// addRest stores that a run wants no requests from this host. It never shortens an
+// earlier rest.
+func (b *Book) addRest(s Server, asked time.Duration) {
 	now := b.options.Boot()
 	b.mu.Lock()
-	old, held := b.resting[s.Instance]
-	known := old.until > now
-	until := max(now+b.spread(min(asked, RestMost)), old.until)
-	full := !held && len(b.resting) >= serversMost
+	old, exists := b.resting[s.Instance]
+	wasResting := old.endsAt > now
+	endsAt := max(now+b.withJitter(min(asked, RestMost)), old.endsAt)
+	full := !exists && len(b.resting) >= maxServers
 	if !full {
-		b.resting[s.Instance] = rest{asked: now, until: until}
+		b.resting[s.Instance] = restRecord{askedAt: now, endsAt: endsAt}
 	}
 	b.mu.Unlock()
 	if full {
@@ -130,24 +132,25 @@
 	}
 	b.options.Scope.Counter("notices_rest").Inc(1)
 	b.options.Log.WithFields(logrus.Fields{
-		"server": s.Instance, "address": s.Address, "asked_ms": asked.Milliseconds(), "for_ms": (until - now).Milliseconds(), "rested": known,
+		"server": s.Instance, "address": s.Address, "asked_ms": asked.Milliseconds(), "for_ms": (endsAt - now).Milliseconds(), "rested": wasResting,
 	}).Info("a backend server asks for rest")
 }
 
-// spread returns when this host comes back after a rest. The mutex must be held.
-func (b *Book) spread(asked time.Duration) time.Duration {
-	most := min(time.Duration(spreadShare*float64(asked)), spreadMost)
-	return asked + time.Duration(b.options.Random.Float64()*float64(most))
+// withJitter returns the length of a rest with its jitter. The mutex must be held.
+func (b *Book) withJitter(asked time.Duration) time.Duration {
+	jitter := min(time.Duration(jitterShare*float64(asked)), maxJitter)
+	return asked + time.Duration(b.options.Random.Float64()*float64(jitter))
 }
 
-// Leaving reports whether a run is known to leave.
+// Leaving reports whether a run is known to be leaving.
 func (b *Book) Leaving(instance string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.leaving[instance] != nil
 }
 
-// Rest returns for how long a run is to get nothing from this host yet; 0 is not at all.
+// Rest returns how much longer this host must send nothing to a run; 0 if the run is not
+// resting.
 func (b *Book) Rest(instance string) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -155,10 +158,10 @@
 	if !ok {
 		return 0
 	}
-	return max(r.until-b.options.Boot(), 0)
+	return max(r.endsAt-b.options.Boot(), 0)
 }
 
-// Resting returns the runs that are to get nothing from this host yet, in no order.
+// Resting returns the runs that this host must send nothing to, in no particular order.
 func (b *Book) Resting() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -168,38 +171,39 @@
 	now := b.options.Boot()
 	var resting []string
 	for instance, r := range b.resting {
-		if r.until > now {
+		if r.endsAt > now {
 			resting = append(resting, instance)
 		}
 	}
 	return resting
 }
 
-// Listed notes which runs are listed now: of those it is kept for as long that they
-// leave. It must be called about once a second.
-func (b *Book) Listed(lists func(instance string) bool) {
+// Listed updates when the leaving runs were last in the server list, so that those that
+// still are do not expire. It must be called about once a second.
+func (b *Book) Listed(isListed func(instance string) bool) {
 	now := b.options.Boot()
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for instance, l := range b.leaving {
-		if lists(instance) {
-			l.listed = now
+		if isListed(instance) {
+			l.lastListedAt = now
 		}
 	}
 }
 
-// Forget lets go of what is over. It must be called about once a second.
+// Forget removes ended rests and leaving runs that have not been listed for leavingTTL. It
+// must be called about once a second.
 func (b *Book) Forget() {
 	now := b.options.Boot()
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for instance, r := range b.resting {
-		if now >= r.until {
+		if now >= r.endsAt {
 			delete(b.resting, instance)
 		}
 	}
 	for instance, l := range b.leaving {
-		if now-l.listed >= leavingFor {
+		if now-l.lastListedAt >= leavingTTL {
 			delete(b.leaving, instance)
 		}
 	}
@@ -207,38 +211,38 @@
 	b.options.Scope.Gauge("servers_resting").Update(float64(len(b.resting)))
 }
 
-// Entry is what is believed of one run, for people.
+// Entry is the state of one run in the diagnostic dump.
 type Entry struct {
 	Instance string `json:"instance"`
 	Leaving  bool   `json:"leaving,omitempty"`
-	// Source is where the host has it from that the run leaves, and SinceMs for how
-	// long.
+	// Source is the source of the notice that the run is leaving, and SinceMs how long ago
+	// it was received.
 	Source  Source `json:"source,omitempty"`
 	SinceMs int64  `json:"since_ms,omitempty"`
-	// RestMs is how long it rests yet, and AskedMs how long ago it asked for that.
+	// RestMs is how much longer the run rests, and AskedMs how long ago it asked for that.
 	RestMs  int64 `json:"rest_ms,omitempty"`
 	AskedMs int64 `json:"asked_ms,omitempty"`
 }
 
-// State returns up to most of the runs that something is believed of, by name.
+// State returns up to most of the runs that are leaving or resting, ordered by instance.
 func (b *Book) State(most int) []Entry {
 	now := b.options.Boot()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	byName := make(map[string]Entry)
+	byInstance := make(map[string]Entry)
 	for instance, l := range b.leaving {
-		byName[instance] = Entry{Instance: instance, Leaving: true, Source: l.from, SinceMs: (now - l.since).Milliseconds()}
+		byInstance[instance] = Entry{Instance: instance, Leaving: true, Source: l.source, SinceMs: (now - l.receivedAt).Milliseconds()}
 	}
 	for instance, r := range b.resting {
-		if now >= r.until {
+		if now >= r.endsAt {
 			continue
 		}
-		e := byName[instance]
-		e.Instance, e.RestMs, e.AskedMs = instance, (r.until - now).Milliseconds(), (now - r.asked).Milliseconds()
-		byName[instance] = e
+		e := byInstance[instance]
+		e.Instance, e.RestMs, e.AskedMs = instance, (r.endsAt - now).Milliseconds(), (now - r.askedAt).Milliseconds()
+		byInstance[instance] = e
 	}
-	entries := make([]Entry, 0, len(byName))
-	for _, e := range byName {
+	entries := make([]Entry, 0, len(byInstance))
+	for _, e := range byInstance {
 		entries = append(entries, e)
 	}
 	slices.SortFunc(entries, func(a, b Entry) int { return strings.Compare(a.Instance, b.Instance) })
--- a/internal/notice/book_test.go
+++ b/internal/notice/book_test.go
@@ -17,15 +17,15 @@
 	"github.com/wingvale/wingvale/internal/notice"
 )
 
-// clock is a host's clock that goes on while it is suspended.
+// clock is the boot-time clock of a host.
 type clock struct{ now time.Duration }
 
-// told has what a book told of servers that leave.
-type told struct{ lines []string }
+// leavingCalls records the calls of Options.Leaves.
+type leavingCalls struct{ lines []string }
 
-func newBook(t *testing.T) (*notice.Book, *clock, *told) {
+func newBook(t *testing.T) (*notice.Book, *clock, *leavingCalls) {
 	t.Helper()
-	c, heard := &clock{}, &told{}
+	c, calls := &clock{}, &leavingCalls{}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return notice.NewBook(notice.Options{
@@ -34,25 +34,25 @@
 		Log:    log,
 		Scope:  tally.NoopScope,
 		Leaves: func(s notice.Server, from notice.Source) {
-			heard.lines = append(heard.lines, fmt.Sprintf("%s by %s", s.Instance, from))
+			calls.lines = append(calls.lines, fmt.Sprintf("%s by %s", s.Instance, from))
 		},
-	}), c, heard
+	}), c, calls
 }
 
 func run(instance string) notice.Server { return notice.Server{Instance: instance} }
 
-func TestLeavingHoldsForOneRun(t *testing.T) {
-	b, _, heard := newBook(t)
+func TestLeavingAppliesToOneRun(t *testing.T) {
+	b, _, calls := newBook(t)
 	b.Heard(run("i-1@5"), notice.Notice{Leaving: true})
 	b.Heard(run("i-1@5"), notice.Notice{})
 	b.Left(run("i-1@5"), notice.SourcePeer)
 	assert.Assert(t, b.Leaving("i-1@5"))
 	assert.Assert(t, !b.Leaving("i-1@6"), "a new run under the same id")
-	assert.DeepEqual(t, heard.lines, []string{"i-1@5 by answer"})
+	assert.DeepEqual(t, calls.lines, []string{"i-1@5 by answer"})
 }
 
-// A run that is listed for hours stays leaving; one that is not is let go.
-func TestLeavingEndsLongAfterTheRun(t *testing.T) {
+// A run stays leaving for as long as it is listed. Otherwise it is removed after an hour.
+func TestLeavingExpiresWhenRunIsNoLongerListed(t *testing.T) {
 	b, c, _ := newBook(t)
 	b.Left(run("listed"), notice.SourceList)
 	b.Left(run("gone"), notice.SourceAnswer)
@@ -65,9 +65,9 @@
 	assert.Assert(t, !b.Leaving("gone"))
 }
 
-// A rest lasts at least as long as it was asked for, and not much longer, also where the
-// host was suspended meanwhile.
-func TestARestEndsByItself(t *testing.T) {
+// A rest lasts at least as long as requested, and not much longer, even if the host was
+// suspended in the meantime.
+func TestRestEndsAfterRequestedTime(t *testing.T) {
 	b, c, _ := newBook(t)
 	b.Heard(run("i-1"), notice.Notice{Rest: 3 * time.Second})
 	c.now += 3*time.Second - time.Millisecond
@@ -77,7 +77,7 @@
 	assert.Equal(t, b.Rest("i-1"), time.Duration(0))
 }
 
-func TestAShorterRestDoesNotEndALongerOne(t *testing.T) {
+func TestShorterRestDoesNotReplaceLongerOne(t *testing.T) {
 	b, c, _ := newBook(t)
 	b.Heard(run("i-1"), notice.Notice{Rest: 10 * time.Second})
 	c.now += time.Second
@@ -87,23 +87,23 @@
 	assert.Assert(t, b.Rest("i-2") <= notice.RestMost+time.Second, "%v", b.Rest("i-2"))
 }
 
-// A server answers many hosts at about the same time; they come back one after another.
-func TestHostsDoNotAllComeBackAtOnce(t *testing.T) {
+// A server answers many hosts at about the same time. Their rests must not all end at once.
+func TestRestsHaveJitter(t *testing.T) {
 	b, _, _ := newBook(t)
-	var first, last time.Duration
+	var shortest, longest time.Duration
 	for i := range 50 {
 		s := run(fmt.Sprint(i))
 		b.Heard(s, notice.Notice{Rest: 3 * time.Second})
 		rest := b.Rest(s.Instance)
 		if i == 0 {
-			first, last = rest, rest
+			shortest, longest = rest, rest
 		}
-		first, last = min(first, rest), max(last, rest)
+		shortest, longest = min(shortest, rest), max(longest, rest)
 	}
-	assert.Assert(t, last-first > 300*time.Millisecond, "between %v and %v", first, last)
+	assert.Assert(t, longest-shortest > 300*time.Millisecond, "between %v and %v", shortest, longest)
 }
 
-func TestWhatIsHeldIsBounded(t *testing.T) {
+func TestBookIsBounded(t *testing.T) {
 	const many = 10_000
 	b, c, _ := newBook(t)
 	for i := range many {
--- a/internal/notice/notice.go
+++ b/internal/notice/notice.go
@@ -8,26 +8,27 @@
 	"time"
 )
 
-// Notice is what an answer tells of its server beside its request.
+// Notice is what an answer says about its server rather than about the request.
 type Notice struct {
-	// Leaving says that the server leaves. It holds until that run of it ends.
+	// Leaving says that the server is shutting down. It applies until that run ends.
 	Leaving bool
-	// Rest is how long the server wants nothing from the host that it answered; 0 is
-	// not told. It says nothing to other hosts.
+	// Rest is for how long the server wants no requests from the host that it answered; 0 if
+	// it did not ask for a rest. It does not apply to other hosts.
 	Rest time.Duration
 }
 
 // Server is one run of a backend server.
 type Server struct {
-	// Instance names the run: one that starts again has another.
+	// Instance identifies the run. A server that is restarted gets a new one.
 	Instance string
 	Address  netip.AddrPort
 }
 
-// Source is where a host has it from that a server leaves.
+// Source is how a host found out that a server is leaving.
 type Source string
 
-// The sources there are.
+// The sources of the information that a server is leaving: its own answer, another host, or
+// the server list.
 const (
 	SourceAnswer Source = "answer"
 	SourcePeer   Source = "peer"
