--- a/internal/health/record.go
+++ b/internal/health/record.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The Wingvale Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package health judges servers by their answers: how long they take over what
-// is expected, and how many fail. What is held against a server fades, so that
-// one that got well is found again without probes.
+// Package health rates servers by their answers: how long these take relative to the
+// expected time, and how many fail. The rating decays, so that a server that has recovered
+// gets requests again without active probes.
 package health
 
 import (
@@ -12,96 +12,98 @@
 )
 
 const (
-	// fadeHalf is the half-life of what is held against a server.
-	fadeHalf = 3 * time.Second
-	// gain is the weight of one answer in the averages.
-	gain = 0.3
-	// ratioMost bounds one answer's ratio.
-	ratioMost = 20
-	// ejectAfter failures in a row leave a server out for ejectFirst, doubled
-	// each time up to ejectMost.
-	ejectAfter = 2
-	ejectFirst = 400 * time.Millisecond
-	ejectMost  = 4 * time.Second
-	// tryFor is how long a server that is tried again gets nothing else: a silent
-	// one is told of within it.
-	tryFor = time.Second
-	// wellLeast bounds how far failures raise a cost.
-	wellLeast = 0.05
+	// decayHalfLife is the half-life of a server's slowness and failure rate.
+	decayHalfLife = 3 * time.Second
+	// smoothing is the weight of one answer in the moving averages.
+	smoothing = 0.3
+	// maxRatio is the upper bound of the ratio of one answer.
+	maxRatio = 20
+	// failuresToEject consecutive failures eject a server for initialEjection. Each further
+	// failure doubles the ejection, up to maxEjection.
+	failuresToEject = 2
+	initialEjection = 400 * time.Millisecond
+	maxEjection     = 4 * time.Second
+	// probeTimeout is how long a server that is tried again gets no other request. A silent
+	// server is reported within this time.
+	probeTimeout = time.Second
+	// minSuccessRate limits how far failures raise a cost.
+	minSuccessRate = 0.05
 )
 
-// Record is what is known of one server. The zero value is a server that is not
-// known; it is not safe for concurrent use.
+// Record is the health of one server. The zero value is that of an unknown server. It is
+// not safe for concurrent use.
 type Record struct {
-	// over is how much longer than expected answers take, as a share; failing
-	// is the share of answers that fail. Both are as of at.
-	over    float64
-	failing float64
-	at      time.Time
-	// failures counts failures in a row; until is when an ejected server may
-	// be tried again.
-	failures int
-	until    time.Time
+	// excess is how much longer than expected answers take, relative to the expected time.
+	// failureRate is the share of answers that fail. Both are moving averages as of
+	// updatedAt.
+	excess      float64
+	failureRate float64
+	updatedAt   time.Time
+	// consecutiveFailures counts failures since the last success. ejectedUntil is when an
+	// ejected server may be tried again.
+	consecutiveFailures int
+	ejectedUntil        time.Time
 }
 
-// fade brings the record up to now.
-func (r *Record) fade(now time.Time) {
-	if !r.at.IsZero() {
-		keep := math.Exp2(-now.Sub(r.at).Seconds() / fadeHalf.Seconds())
-		r.over *= keep
-		r.failing *= keep
+// decay applies the decay since the last update.
+func (r *Record) decay(now time.Time) {
+	if !r.updatedAt.IsZero() {
+		factor := math.Exp2(-now.Sub(r.updatedAt).Seconds() / decayHalfLife.Seconds())
+		r.excess *= factor
+		r.failureRate *= factor
 	}
-	r.at = now
+	r.updatedAt = now
 }
 
-// Ratio returns how long answers take over what is expected; 1 is even.
+// Ratio returns the average time of answers relative to the expected time; 1 is as expected.
 func (r *Record) Ratio(now time.Time) float64 {
-	r.fade(now)
-	return 1 + r.over
+	r.decay(now)
+	return 1 + r.excess
 }
 
-// Weighed returns cost as failures raise it.
+// Weighed returns cost divided by the square of the server's success rate.
 func (r *Record) Weighed(now time.Time, cost float64) float64 {
-	r.fade(now)
-	well := max(1-r.failing, wellLeast)
-	return cost / (well * well)
+	r.decay(now)
+	successRate := max(1-r.failureRate, minSuccessRate)
+	return cost / (successRate * successRate)
 }
 
-// Ejected reports whether the server is left out now.
+// Ejected reports whether the server must get no requests now.
 func (r *Record) Ejected(now time.Time) bool {
-	return now.Before(r.until)
+	return now.Before(r.ejectedUntil)
 }
 
-// Failures returns how many answers failed in a row.
+// Failures returns the number of consecutive failures.
 func (r *Record) Failures() int {
-	return r.failures
+	return r.consecutiveFailures
 }
 
-// Try notes a request at a server that failed until it was left out: it gets no
-// other for a while, unless this one is answered. A silent engine that 25 requests
-// a second came back to after each pause took 16 of 162 of them, and none so.
+// Try records that a request is sent to a server. If the server was ejected before, it gets
+// no other request for probeTimeout unless this one is answered. Otherwise a silent engine
+// attracts requests after each ejection: at 25 requests a second, 16 of 162, as opposed to
+// none.
 func (r *Record) Try(now time.Time) {
-	if r.failures >= ejectAfter && !r.Ejected(now) {
-		r.until = now.Add(tryFor)
+	if r.consecutiveFailures >= failuresToEject && !r.Ejected(now) {
+		r.ejectedUntil = now.Add(probeTimeout)
 	}
 }
 
-// Ended notes an answer that took ratio times what is expected, 0 for not
-// known.
+// Ended records an answer or a failure. Ratio is the time that it took relative to the
+// expected time, or 0 if unknown.
 func (r *Record) Ended(now time.Time, ratio float64, failed bool) {
-	r.fade(now)
+	r.decay(now)
 	if ratio > 0 {
-		r.over += gain * (min(ratio, ratioMost) - 1 - r.over)
+		r.excess += smoothing * (min(ratio, maxRatio) - 1 - r.excess)
 	}
 	if !failed {
-		r.failing *= 1 - gain
-		r.failures, r.until = 0, time.Time{}
+		r.failureRate *= 1 - smoothing
+		r.consecutiveFailures, r.ejectedUntil = 0, time.Time{}
 		return
 	}
-	r.failing += gain * (1 - r.failing)
-	r.failures++
-	if r.failures >= ejectAfter {
-		pause := ejectFirst << min(r.failures-ejectAfter, 10)
-		r.until = now.Add(min(pause, ejectMost))
+	r.failureRate += smoothing * (1 - r.failureRate)
+	r.consecutiveFailures++
+	if r.consecutiveFailures >= failuresToEject {
+		ejection := initialEjection << min(r.consecutiveFailures-failuresToEject, 10)
+		r.ejectedUntil = now.Add(min(ejection, maxEjection))
 	}
 }
--- a/internal/health/record_test.go
+++ b/internal/health/record_test.go
@@ -14,7 +14,7 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func TestSlownessFades(t *testing.T) {
+func TestSlownessDecays(t *testing.T) {
 	var r health.Record
 	assert.Equal(t, r.Ratio(start), 1.0)
 	for range 20 {
@@ -25,7 +25,7 @@
 	assert.Assert(t, r.Ratio(start.Add(time.Minute)) < 1.01)
 }
 
-func TestFailuresRaiseCostsAndEject(t *testing.T) {
+func TestFailuresRaiseCostAndEject(t *testing.T) {
 	var r health.Record
 	assert.Equal(t, r.Weighed(start, 1), 1.0)
 	r.Ended(start, 0, true)
