--- a/internal/delta/delta.go
+++ b/internal/delta/delta.go
@@ -12,60 +12,60 @@
 )
 
 const (
-	// windowLeast and windowMost are the least and the largest window in bytes.
-	// A window holds both values, else what they share is not found; the largest
-	// holds two of the largest values, of 1 MB each.
-	windowLeast = 1 << 12
-	windowMost  = 4 << 20
-	// dictionary names the earlier value in the encoded form.
-	dictionary = 1
+	// minWindow and maxWindow bound the window of the compression, in bytes. The window
+	// must hold both values, or their common parts are not found. The largest holds two
+	// values of the maximum size of 1 MB.
+	minWindow = 1 << 12
+	maxWindow = 4 << 20
+	// dictionaryID is the ID of the dictionary, the earlier value, in the encoded form.
+	dictionaryID = 1
 )
 
-// ErrTooLarge says that a decoded value is longer than its limit.
+// ErrTooLarge is returned by Decode if the value is longer than the limit.
 var ErrTooLarge = errors.New("delta: value too large")
 
-// Encode returns value as its difference from base, which may be empty.
+// Encode returns value encoded as the difference from base, which may be empty.
 func Encode(base, value []byte) ([]byte, error) {
 	options := []zstd.EOption{
 		zstd.WithEncoderConcurrency(1),
-		// The fastest level finds little of an earlier value of 1 MB that does
-		// not repeat itself: 148 KB for 7 bytes changed.
+		// The fastest level finds few matches in a base of 1 MB without repetitions: it
+		// encodes a change of 7 bytes in 148 KB.
 		zstd.WithEncoderLevel(zstd.SpeedDefault),
 		zstd.WithAllLitEntropyCompression(true),
 		zstd.WithLowerEncoderMem(true),
-		zstd.WithWindowSize(windowOf(len(base) + len(value))),
-		// The digest of an entry covers its value.
+		zstd.WithWindowSize(windowSize(len(base) + len(value))),
+		// No checksum is needed, as the digest of an entry covers its value.
 		zstd.WithEncoderCRC(false),
 	}
 	if len(base) > 0 {
-		options = append(options, zstd.WithEncoderDictRaw(dictionary, base))
+		options = append(options, zstd.WithEncoderDictRaw(dictionaryID, base))
 	}
 	encoder, err := zstd.NewWriter(nil, options...)
 	if err != nil {
-		return nil, fmt.Errorf("delta: %w", err)
+		return nil, fmt.Errorf("delta: create encoder: %w", err)
 	}
 	encoded := encoder.EncodeAll(value, nil)
 	if err := encoder.Close(); err != nil {
-		return nil, fmt.Errorf("delta: %w", err)
+		return nil, fmt.Errorf("delta: close encoder: %w", err)
 	}
 	return encoded, nil
 }
 
-// Decode returns the value that was encoded against base, of at most limit
-// bytes.
+// Decode returns the value that Encode encoded with the same base. It fails with ErrTooLarge
+// if the value is longer than limit bytes.
 func Decode(base, encoded []byte, limit int) ([]byte, error) {
 	options := []zstd.DOption{
 		zstd.WithDecoderConcurrency(1),
 		zstd.WithDecoderLowmem(true),
 		zstd.WithDecoderMaxMemory(uint64(limit)),
-		zstd.WithDecoderMaxWindow(windowMost),
+		zstd.WithDecoderMaxWindow(maxWindow),
 	}
 	if len(base) > 0 {
-		options = append(options, zstd.WithDecoderDictRaw(dictionary, base))
+		options = append(options, zstd.WithDecoderDictRaw(dictionaryID, base))
 	}
 	decoder, err := zstd.NewReader(nil, options...)
 	if err != nil {
-		return nil, fmt.Errorf("delta: %w", err)
+		return nil, fmt.Errorf("delta: create decoder: %w", err)
 	}
 	defer decoder.Close()
 	value, err := decoder.DecodeAll(encoded, nil)
@@ -73,12 +73,13 @@
 		return nil, fmt.Errorf("%w: more than %d bytes", ErrTooLarge, limit)
 	}
 	if err != nil {
-		return nil, fmt.Errorf("delta: %w", err)
+		return nil, fmt.Errorf("delta: decode: %w", err)
 	}
 	return value, nil
 }
 
-// windowOf returns the least power of two that holds size bytes.
-func windowOf(size int) int {
-	return min(max(1<<bits.Len(uint(size)), windowLeast), windowMost)
+// windowSize returns the smallest power of two that exceeds size, within the bounds of the
+// window.
+func windowSize(size int) int {
+	return min(max(1<<bits.Len(uint(size)), minWindow), maxWindow)
 }
--- a/internal/delta/delta_test.go
+++ b/internal/delta/delta_test.go
@@ -15,7 +15,7 @@
 	"github.com/wingvale/wingvale/internal/delta"
 )
 
-// limit is above any value of these tests.
+// limit is larger than any value in these tests.
 const limit = 16 << 20
 
 type route struct {
@@ -27,8 +27,8 @@
 	Service string `json:"service"`
 }
 
-// routes returns a configuration of count routes; the first ones are the same
-// for any count.
+// routes returns a configuration of count routes. A smaller configuration is a prefix of the
+// list of a larger one.
 func routes(t testing.TB, count int) []byte {
 	t.Helper()
 	random := rand.New(rand.NewPCG(1, 1))
@@ -45,7 +45,7 @@
 	return data
 }
 
-func TestWhatIsDecodedIsWhatWasEncoded(t *testing.T) {
+func TestDecodeReturnsEncodedValue(t *testing.T) {
 	values := [][]byte{nil, []byte("a"), []byte("ab"), routes(t, 1), routes(t, 30), routes(t, 400)}
 	for _, base := range values {
 		for _, value := range values {
@@ -58,8 +58,8 @@
 	}
 }
 
-// A configuration that grew was sent whole, and filled small links for seconds.
-func TestADifferenceIsInProportionToTheChange(t *testing.T) {
+// A configuration that grows must not be sent whole, or it saturates small links for seconds.
+func TestEncodedSizeIsProportionalToChange(t *testing.T) {
 	for _, count := range []int{100, 1400, 4200, 6000} {
 		base, value := routes(t, count), routes(t, count+10)
 		encoded, err := delta.Encode(base, value)
@@ -69,7 +69,7 @@
 	}
 }
 
-func TestADifferenceNeedsItsBase(t *testing.T) {
+func TestDecodeNeedsBase(t *testing.T) {
 	base, value := routes(t, 100), routes(t, 120)
 	encoded, err := delta.Encode(base, value)
 	assert.NilError(t, err)
@@ -77,7 +77,7 @@
 	assert.Assert(t, err != nil || !bytes.Equal(got, value))
 }
 
-func TestATooLargeValueIsRefused(t *testing.T) {
+func TestDecodeRejectsTooLargeValue(t *testing.T) {
 	encoded, err := delta.Encode(nil, make([]byte, 1<<20))
 	assert.NilError(t, err)
 	_, err = delta.Decode(nil, encoded, 1000)
--- a/internal/delta/keys_test.go
+++ b/internal/delta/keys_test.go
@@ -14,10 +14,10 @@
 	"github.com/wingvale/wingvale/internal/delta"
 )
 
-// Of a configuration that consists of keys, a change of one encoded in 148 KB
-// of 0.96 MB, where half as many keys stayed below 1 in 200: what is far from the
-// end of the earlier value is found again only where the text repeats itself.
-func TestADifferenceOfKeysIsInProportionToTheChange(t *testing.T) {
+// With the fastest level, the change of one key in a configuration of 0.96 MB of keys was
+// encoded in 148 KB, while for half as many keys it took less than 1/200 of the value: matches
+// far from the end of the earlier value are only found if the text repeats itself.
+func TestEncodedSizeIsProportionalToChangeOfKeys(t *testing.T) {
 	for _, count := range []int{1000, 5000, 9000, 18000} {
 		var base bytes.Buffer
 		random := rand.New(rand.NewPCG(1, 1))
