--- a/internal/table/run.go
+++ b/internal/table/run.go
@@ -11,9 +11,10 @@
 	"github.com/wingvale/wingvale/request"
 )
 
-// Run is one request that has started here. It is safe for concurrent use.
+// Run is a request that has started on this node, and its answer. It is safe for concurrent
+// use.
 type Run struct {
-	// ID, Spec and Started never change.
+	// ID, Spec and Started are immutable.
 	ID      request.ID
 	Spec    request.Spec
 	Started time.Time
@@ -22,22 +23,23 @@
 	cancel context.CancelCauseFunc
 
 	mu sync.Mutex
-	// accepted is set before anything else.
+	// accepted is set when the run is admitted, before any of the following fields.
 	accepted *request.Accepted
-	// checkpoint is the last one and version counts them.
-	checkpoint *request.Checkpoint
-	version    int
-	// attempt numbers the chunks' attempt and never falls.
+	// checkpoint is the latest checkpoint, and checkpointVersion counts them.
+	checkpoint        *request.Checkpoint
+	checkpointVersion int
+	// attempt is the number of the attempt that the chunks belong to. It never decreases.
 	attempt int
-	// text has the chunks' text end to end, and ends where each one ends.
-	text  []byte
-	ends  []int32
-	stage string
-	// final is set once and ends the run.
-	final   *request.Event
-	ended   time.Time
-	dropped bool
-	// changed is closed and replaced at every change.
+	// text is the concatenated text of the chunks, and chunkEnds holds the offset of the end
+	// of each.
+	text      []byte
+	chunkEnds []int32
+	stage     string
+	// final is the last event of the run. It is set once.
+	final     *request.Event
+	endedAt   time.Time
+	discarded bool
+	// changed is closed and replaced at every update, to wake up readers.
 	changed chan struct{}
 	// done is closed when final is set.
 	done    chan struct{}
@@ -57,7 +59,8 @@
 	}
 }
 
-func (r *Run) change(do func()) {
+// update applies a change and wakes up readers. It does nothing once the run has ended.
+func (r *Run) update(do func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.final != nil {
@@ -68,117 +71,118 @@
 	r.changed = make(chan struct{})
 }
 
-// Accept notes that the run was admitted.
+// Accept records that the run was admitted.
 func (r *Run) Accept(a request.Accepted) {
-	r.change(func() {
+	r.update(func() {
 		r.accepted = &a
 		r.attempt = a.Attempt
 	})
 }
 
-// Checkpoint notes what a caller needs to go on elsewhere.
+// Checkpoint records what a caller needs to continue the run on another node.
 func (r *Run) Checkpoint(c request.Checkpoint) {
-	r.change(func() {
+	r.update(func() {
 		r.checkpoint = &c
-		r.version++
+		r.checkpointVersion++
 	})
 }
 
-// Stage notes the stage that is under way.
+// Stage records the stage that is in progress.
 func (r *Run) Stage(name string) {
-	r.change(func() { r.stage = name })
+	r.update(func() { r.stage = name })
 }
 
-// Restart begins the answer anew under the next attempt and returns it.
+// Restart discards the answer so far and returns the number of the next attempt.
 func (r *Run) Restart() int {
-	r.change(func() {
+	r.update(func() {
 		r.attempt++
-		r.text, r.ends = nil, nil
+		r.text, r.chunkEnds = nil, nil
 	})
 	return r.Attempt()
 }
 
-// Attempt returns the attempt that chunks are added under.
+// Attempt returns the number of the current attempt, to which chunks are added.
 func (r *Run) Attempt() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.attempt
 }
 
-// Chunk adds text to the answer and reports whether it still fits.
+// Chunk appends a chunk to the answer. It reports false if the answer would exceed
+// request.MaxAnswerBytes.
 func (r *Run) Chunk(text string) bool {
 	fits := true
-	r.change(func() {
+	r.update(func() {
 		if len(r.text)+len(text) > request.MaxAnswerBytes {
 			fits = false
 			return
 		}
 		r.text = append(r.text, text...)
-		r.ends = append(r.ends, int32(len(r.text)))
+		r.chunkEnds = append(r.chunkEnds, int32(len(r.text)))
 	})
 	return fits
 }
 
-// Chunks returns how many chunks the answer has.
+// Chunks returns the number of chunks in the answer.
 func (r *Run) Chunks() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(r.ends)
+	return len(r.chunkEnds)
 }
 
-// chunk returns one chunk of the answer.
+// chunk returns chunk i of the answer. The mutex must be held.
 func (r *Run) chunk(i int) request.Chunk {
 	from := int32(0)
 	if i > 0 {
-		from = r.ends[i-1]
+		from = r.chunkEnds[i-1]
 	}
-	return request.Chunk{Attempt: r.attempt, Sequence: i, Text: string(r.text[from:r.ends[i]])}
+	return request.Chunk{Attempt: r.attempt, Sequence: i, Text: string(r.text[from:r.chunkEnds[i]])}
 }
 
-// End sets the final event. Only the first one counts.
+// End sets the final event. Calls after the first have no effect.
 func (r *Run) End(now time.Time, e request.Event) {
-	r.change(func() {
+	r.update(func() {
 		r.final = &e
-		r.ended = now
+		r.endedAt = now
 		close(r.done)
 	})
 }
 
-// Context returns the context that the run's work is bound to. It ends when
-// the run is cancelled or has ended.
+// Context returns the context of the run's work. It is cancelled when the run is cancelled
+// or has ended.
 func (r *Run) Context() context.Context {
 	return r.ctx
 }
 
-// Cancel asks the run to stop for the given cause. Its final event still comes.
+// Cancel cancels the run's work with the given cause. The run still gets a final event.
 func (r *Run) Cancel(cause error) {
 	r.cancel(cause)
 }
 
-// Repeatable reports whether the run could go on at another node.
+// Repeatable reports whether the run may be continued on another node.
 func (r *Run) Repeatable() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.accepted != nil && r.accepted.Repeatable
 }
 
-// Done is closed once the run has ended.
+// Done returns a channel that is closed when the run has ended.
 func (r *Run) Done() <-chan struct{} {
 	return r.done
 }
 
-// Readers returns how many callers read the answer now.
+// Readers returns how many callers are reading the answer.
 func (r *Run) Readers() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.readers
 }
 
-// Status returns what became of the run so far.
+// Status returns the current status of the run.
 func (r *Run) Status() request.Status {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s := request.Status{ID: r.ID, State: request.StateRunning, Attempt: r.attempt, Stage: r.stage, Chunks: len(r.ends)}
+	s := request.Status{ID: r.ID, State: request.StateRunning, Attempt: r.attempt, Stage: r.stage, Chunks: len(r.chunkEnds)}
 	if r.final == nil {
 		return s
 	}
@@ -191,26 +195,26 @@
 	return s
 }
 
-// Cursor is how far one caller has read.
+// Cursor is the read position of one caller. The zero value is the beginning of the answer.
 type Cursor struct {
-	accepted bool
-	version  int
-	attempt  int
-	next     int
+	accepted          bool
+	checkpointVersion int
+	attempt           int
+	next              int
 }
 
-// At returns a cursor for a caller that holds the first chunks of an attempt.
+// At returns a cursor for a caller that already has the given number of chunks of an attempt.
 func At(attempt, chunks int) Cursor {
 	return Cursor{attempt: attempt, next: chunks}
 }
 
-// Next waits for what the caller has not read, moves the cursor past it, and
-// reports whether the answer has ended. It fails only with ctx, or with
-// ErrDropped where the answer is no longer retained.
+// Next waits until there are events that the caller has not read, returns them, advances the
+// cursor, and reports whether the answer has ended. It fails only if ctx is done, or with
+// ErrDropped if the answer is no longer retained.
 func (r *Run) Next(ctx context.Context, c *Cursor) ([]request.Event, bool, error) {
 	for {
 		r.mu.Lock()
-		if r.dropped {
+		if r.discarded {
 			r.mu.Unlock()
 			return nil, false, ErrDropped
 		}
@@ -229,20 +233,21 @@
 	}
 }
 
+// unread returns the events after the cursor and advances it. The mutex must be held.
 func (r *Run) unread(c *Cursor) []request.Event {
 	var events []request.Event
 	if !c.accepted && r.accepted != nil {
 		c.accepted = true
 		events = append(events, request.Event{Type: request.EventAccepted, Accepted: r.accepted})
 	}
-	if c.version != r.version {
-		c.version = r.version
+	if c.checkpointVersion != r.checkpointVersion {
+		c.checkpointVersion = r.checkpointVersion
 		events = append(events, request.Event{Type: request.EventCheckpoint, Checkpoint: r.checkpoint})
 	}
 	if c.attempt != r.attempt {
 		c.attempt, c.next = r.attempt, 0
 	}
-	for ; c.next < len(r.ends); c.next++ {
+	for ; c.next < len(r.chunkEnds); c.next++ {
 		chunk := r.chunk(c.next)
 		events = append(events, request.Event{Type: request.EventChunk, Chunk: &chunk})
 	}
@@ -252,7 +257,7 @@
 	return events
 }
 
-// Attach counts a reader until the returned function is called.
+// Attach counts a reader until detach is called. An answer is retained while it has readers.
 func (r *Run) Attach() (detach func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -264,19 +269,22 @@
 	}
 }
 
-// drop forgets the answer's text and keeps what became of the run.
-func (r *Run) drop() int {
+// discardAnswer discards the text and the checkpoint but keeps the final event. It returns
+// the number of bytes freed.
+func (r *Run) discardAnswer() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	size := r.size()
-	r.text, r.ends, r.checkpoint = nil, nil, nil
-	r.dropped = true
-	return size
+	answerSize := r.answerSize()
+	r.text, r.chunkEnds, r.checkpoint = nil, nil, nil
+	r.discarded = true
+	return answerSize
 }
 
-const endBytes = 4
+// chunkEndBytes is the size of an entry of chunkEnds.
+const chunkEndBytes = 4
 
-// size is about what the answer takes.
-func (r *Run) size() int {
-	return len(r.text) + endBytes*len(r.ends)
+// answerSize returns the approximate size of the answer in memory, in bytes. The mutex must be
+// held.
+func (r *Run) answerSize() int {
+	return len(r.text) + chunkEndBytes*len(r.chunkEnds)
 }
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -17,15 +17,15 @@
 	"github.com/wingvale/wingvale/verdict"
 )
 
-// Options bounds a Table. Zero fields take the defaults.
+// Options configures the limits of a Table. Zero fields take the defaults.
 type Options struct {
-	// IDsValid is how long an issued id may be used to start its request.
+	// IDsValid is how long after its issue an id may be used to start a request.
 	IDsValid time.Duration
-	// Retain is how long an answer is kept after the request has ended.
+	// Retain is how long an answer is retained after the request has ended.
 	Retain time.Duration
-	// MaxRuns bounds the requests kept, running or ended.
+	// MaxRuns is the most requests in the table, running, ended or refused.
 	MaxRuns int
-	// MaxRetained bounds the bytes of ended answers.
+	// MaxRetained is the most bytes of ended answers that are retained.
 	MaxRetained int
 }
 
@@ -37,71 +37,72 @@
 	DefaultMaxRetained = 64 << 20
 )
 
-// ErrDropped says that the request ended but its answer is no longer kept.
-var ErrDropped = errors.New("table: the answer is no longer kept")
+// ErrDropped is returned by Run.Next if the request has ended and its answer has been
+// discarded.
+var ErrDropped = errors.New("table: answer is no longer retained")
 
-// Table is safe for concurrent use.
+// Table holds the requests of one node and issues their ids. It is safe for concurrent use.
 type Table struct {
 	options     Options
 	address     netip.AddrPort
 	incarnation request.Incarnation
 	key         request.Key
-	start       time.Time
+	createdAt   time.Time
 
 	mu sync.Mutex
-	// sequence is the last one issued.
+	// sequence is the last sequence number issued.
 	sequence uint64
-	// runs has every request that started here and whose id might still be
-	// used, so that no id can start twice.
+	// runs holds every request that started here and whose id might still be used, so that
+	// no id can start twice.
 	runs map[request.ID]*Run
-	// refused has the ids under which nothing may start any more, though they
-	// are not in runs: a copy of the request that arrives late must not run
-	// after its caller was told what became of it.
+	// refused holds the ids that are not in runs but must not start any more. A copy of the
+	// request that arrives late must not run after its caller got the outcome.
 	refused map[request.ID]refusal
-	// retained counts the bytes of ended answers.
-	retained int
-	// order has the ended runs, the oldest first.
-	order []*Run
+	// retainedBytes is the size of the ended answers, in bytes.
+	retainedBytes int
+	// endedRuns holds the ended runs, the oldest first.
+	endedRuns []*Run
 }
 
+// refusal is the outcome that is returned for a refused id.
 type refusal struct {
 	verdict verdict.Verdict
 	reason  verdict.Reason
 }
 
-// New returns an empty table of a new incarnation of the node at address.
+// New returns an empty table for a new incarnation of the node at address.
 func New(address netip.AddrPort, options Options) *Table {
 	options.IDsValid = cmp.Or(options.IDsValid, DefaultIDsValid)
 	options.Retain = cmp.Or(options.Retain, DefaultRetain)
 	options.MaxRuns = cmp.Or(options.MaxRuns, DefaultMaxRuns)
 	options.MaxRetained = cmp.Or(options.MaxRetained, DefaultMaxRetained)
-	t := &Table{options: options, address: address, start: time.Now(), runs: make(map[request.ID]*Run), refused: make(map[request.ID]refusal)}
-	// crypto/rand.Read never fails: it ends the process instead.
+	t := &Table{options: options, address: address, createdAt: time.Now(), runs: make(map[request.ID]*Run), refused: make(map[request.ID]refusal)}
+	// crypto/rand.Read never returns an error; it ends the process instead.
 	_, _ = rand.Read(t.key[:])
-	var inc [8]byte
-	_, _ = rand.Read(inc[:])
-	t.incarnation = request.Incarnation(binary.BigEndian.Uint64(inc[:]))
+	var incarnationBytes [8]byte
+	_, _ = rand.Read(incarnationBytes[:])
+	t.incarnation = request.Incarnation(binary.BigEndian.Uint64(incarnationBytes[:]))
 	return t
 }
 
-// Incarnation returns the one that this table's ids bear.
+// Incarnation returns the incarnation of the node, which is part of each id.
 func (t *Table) Incarnation() request.Incarnation {
 	return t.incarnation
 }
 
-// IDsValid returns how long a fresh id may be used.
+// IDsValid returns how long after its issue an id may be used.
 func (t *Table) IDsValid() time.Duration {
 	return t.options.IDsValid
 }
 
-// Issue returns count fresh ids. An id costs nothing until it is used.
+// Issue returns count new ids. An id takes no memory in the table until it is used.
 func (t *Table) Issue(count int) []request.ID {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	ids := make([]request.ID, 0, count)
 	for range count {
 		t.sequence++
-		ids = append(ids, request.Issue(t.key, t.address, t.incarnation, t.sequence, time.Since(t.start)))
+		ids = append(ids, request.Issue(t.key, t.address, t.incarnation, t.sequence, time.Since(t.createdAt)))
 	}
 	return ids
 }
@@ -111,29 +112,30 @@
 	return id.Issuer == t.address && id.Incarnation == t.incarnation && id.Verify(t.key)
 }
 
-// Begin starts the request under an id that this table issued. Where it has
-// started before, Begin returns that run and false. It refuses an id that is
-// too old: its run may be forgotten, so it must never start.
+// Begin starts a request under an id that this table issued. If the id has started before,
+// Begin returns that run and false. It rejects an expired id: its run may already have been
+// removed from the table, so it must not start again.
 func (t *Table) Begin(ctx context.Context, id request.ID, spec request.Spec) (*Run, bool, error) {
 	if !t.Issued(id) {
 		return nil, false, verdict.New(verdict.Unknown, verdict.ReasonBadID, "table: id %s was not issued here", id)
 	}
-	return t.begin(ctx, id, spec, true)
+	return t.startRun(ctx, id, spec, true)
 }
 
-// Adopt starts a repeatable request whose id another incarnation issued, to go
-// on with it here. It must never be called for an unrepeatable request. Where
-// this node has adopted it before, under the same or a later attempt, Adopt
-// returns that run and false.
+// Adopt starts a repeatable request whose id another incarnation issued, to continue it on
+// this node. It must never be called for an unrepeatable request. If this node has adopted
+// the request before, under the same or a later attempt, Adopt returns that run and false.
 func (t *Table) Adopt(ctx context.Context, id request.ID, spec request.Spec) (*Run, bool, error) {
-	return t.begin(ctx, id, spec, false)
+	return t.startRun(ctx, id, spec, false)
 }
 
-func (t *Table) begin(ctx context.Context, id request.ID, spec request.Spec, own bool) (*Run, bool, error) {
+// startRun starts a request unless its id has started before. Only ids issued by this table
+// expire; issuedHere says that the id is one of them.
+func (t *Table) startRun(ctx context.Context, id request.ID, spec request.Spec, issuedHere bool) (*Run, bool, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if old := t.runs[id]; old != nil {
-		if !sameWork(old.Spec, spec) {
+		if !sameRequest(old.Spec, spec) {
 			return nil, false, verdict.New(verdict.Unknown, verdict.ReasonConflict, "table: id %s was used for another request", id)
 		}
 		return old, false, nil
@@ -141,7 +143,7 @@
 	if r, ok := t.refused[id]; ok {
 		return nil, false, r.err(id)
 	}
-	if own && t.expired(id) {
+	if issuedHere && t.expired(id) {
 		return nil, false, verdict.New(verdict.Unknown, verdict.ReasonExpiredID, "table: id %s is too old to start", id)
 	}
 	if len(t.runs)+len(t.refused) >= t.options.MaxRuns {
@@ -152,12 +154,12 @@
 	return run, true, nil
 }
 
-func sameWork(a, b request.Spec) bool {
+func sameRequest(a, b request.Spec) bool {
 	return a.Workspace == b.Workspace && a.Pipeline == b.Pipeline && a.Input == b.Input && a.Unrepeatable == b.Unrepeatable
 }
 
 func (t *Table) expired(id request.ID) bool {
-	return time.Since(t.start)-id.Issued > t.options.IDsValid
+	return time.Since(t.createdAt)-id.Issued > t.options.IDsValid
 }
 
 func (r refusal) err(id request.ID) error {
@@ -166,8 +168,8 @@
 	return e
 }
 
-// Refuse ends a run that is kept no longer, and refuses its id from now on
-// with the given verdict and reason.
+// Refuse cancels a run and removes it. From then on its id is refused with the given verdict
+// and reason.
 func (t *Table) Refuse(run *Run, v verdict.Verdict, reason verdict.Reason) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -176,7 +178,7 @@
 	run.cancel(nil)
 }
 
-// Forget removes an adopted run that did not start here, so that it may be
+// Forget cancels and removes an adopted run that did not start here, so that it may be
 // adopted again.
 func (t *Table) Forget(run *Run) {
 	t.mu.Lock()
@@ -185,7 +187,8 @@
 	run.cancel(nil)
 }
 
-// Find returns the run of an id that this table issued or adopted.
+// Find returns the run of an id that this table issued or adopted. The error says what is
+// known of the request otherwise.
 func (t *Table) Find(id request.ID) (*Run, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -204,26 +207,28 @@
 	return nil, verdict.New(verdict.NotRun, verdict.ReasonUnknownRequest, "table: id %s has not started", id)
 }
 
-// Ended must be called once for each run that has ended.
+// Ended releases the context of a run and starts the retention of its answer. It must be
+// called once for each run that has ended.
 func (t *Table) Ended(run *Run) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	run.cancel(nil)
 	run.mu.Lock()
-	t.retained += run.size()
+	t.retainedBytes += run.answerSize()
 	run.mu.Unlock()
-	t.order = append(t.order, run)
+	t.endedRuns = append(t.endedRuns, run)
 }
 
-// Sweep drops answers and runs that are past their time.
+// Sweep discards answers that are past their retention or over MaxRetained and have no
+// readers, and removes runs and refusals whose ids have expired.
 func (t *Table) Sweep(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	kept := t.order[:0]
-	for _, run := range t.order {
-		old := now.Sub(run.ended) > t.options.Retain
-		if !run.dropped && (old || t.retained > t.options.MaxRetained) && run.Readers() == 0 {
-			t.retained -= run.drop()
+	kept := t.endedRuns[:0]
+	for _, run := range t.endedRuns {
+		old := now.Sub(run.endedAt) > t.options.Retain
+		if !run.discarded && (old || t.retainedBytes > t.options.MaxRetained) && run.Readers() == 0 {
+			t.retainedBytes -= run.discardAnswer()
 		}
 		if old && (t.expired(run.ID) || !t.Issued(run.ID)) {
 			delete(t.runs, run.ID)
@@ -236,11 +241,11 @@
 			delete(t.refused, id)
 		}
 	}
-	clear(t.order[len(kept):])
-	t.order = kept
+	clear(t.endedRuns[len(kept):])
+	t.endedRuns = kept
 }
 
-// Running returns the runs that have not ended.
+// Running returns the runs that have not ended, in no particular order.
 func (t *Table) Running() []*Run {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -255,7 +260,7 @@
 	return running
 }
 
-// Readers returns how many callers read answers now.
+// Readers returns how many callers are reading answers.
 func (t *Table) Readers() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -266,7 +271,7 @@
 	return readers
 }
 
-// State is what the dump shows of a table.
+// State is the state of a table in the diagnostic dump.
 type State struct {
 	Incarnation request.Incarnation `json:"incarnation"`
 	Issued      uint64              `json:"issued"`
@@ -276,12 +281,12 @@
 	Running     []request.Status    `json:"running"`
 }
 
-// State returns at most limit running requests.
+// State returns the state of the table with at most limit running requests.
 func (t *Table) State(limit int) State {
 	running := t.Running()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s := State{Incarnation: t.incarnation, Issued: t.sequence, Kept: len(t.runs), Refused: len(t.refused), Retained: t.retained}
+	s := State{Incarnation: t.incarnation, Issued: t.sequence, Kept: len(t.runs), Refused: len(t.refused), Retained: t.retainedBytes}
 	for _, run := range running[:min(limit, len(running))] {
 		s.Running = append(s.Running, run.Status())
 	}
--- a/internal/table/table_test.go
+++ b/internal/table/table_test.go
@@ -23,7 +23,7 @@
 	spec    = request.Spec{Workspace: "w", Pipeline: "p", Input: "x"}
 )
 
-func TestAnIDStartsOnceHoweverManyArrive(t *testing.T) {
+func TestIDStartsOnceUnderConcurrentBegin(t *testing.T) {
 	tab := table.New(address, table.Options{})
 	id := tab.Issue(1)[0]
 	started := 0
@@ -43,7 +43,7 @@
 	assert.Equal(t, started, 1)
 }
 
-func TestBegin(t *testing.T) {
+func TestBeginRejectsInvalidIDs(t *testing.T) {
 	other := table.New(address, table.Options{})
 	cases := []struct {
 		name   string
@@ -90,7 +90,7 @@
 	}
 }
 
-func TestWhatIsKeptAndForHowLong(t *testing.T) {
+func TestAnswersAndRunsExpire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tab := table.New(address, table.Options{})
 		id := tab.Issue(1)[0]
@@ -119,11 +119,11 @@
 		time.Sleep(table.DefaultIDsValid)
 		tab.Sweep(time.Now())
 		_, err = tab.Find(id)
-		assert.Equal(t, verdict.Of(err), verdict.Unknown, "what is forgotten may have run")
+		assert.Equal(t, verdict.Of(err), verdict.Unknown, "a request that was removed from the table may have run")
 	})
 }
 
-func TestReadersAreIndependentAndRestartsReachThem(t *testing.T) {
+func TestReadersAreIndependentAndSeeRestarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tab := table.New(address, table.Options{})
 		run, _, err := tab.Begin(t.Context(), tab.Issue(1)[0], spec)
@@ -131,16 +131,16 @@
 		run.Accept(request.Accepted{Attempt: 1})
 		run.Chunk("a")
 		run.Chunk("b")
-		quick, late := table.Cursor{}, table.At(1, 1)
-		events, _, err := run.Next(t.Context(), &quick)
+		fromStart, fromChunk := table.Cursor{}, table.At(1, 1)
+		events, _, err := run.Next(t.Context(), &fromStart)
 		assert.NilError(t, err)
 		assert.Equal(t, len(events), 3)
-		events, _, err = run.Next(t.Context(), &late)
+		events, _, err = run.Next(t.Context(), &fromChunk)
 		assert.NilError(t, err)
 		assert.Equal(t, events[len(events)-1].Chunk.Text, "b")
 		assert.Equal(t, run.Restart(), 2)
 		run.Chunk("c")
-		for _, cursor := range []*table.Cursor{&quick, &late} {
+		for _, cursor := range []*table.Cursor{&fromStart, &fromChunk} {
 			events, _, err = run.Next(t.Context(), cursor)
 			assert.NilError(t, err)
 			assert.Equal(t, events[0].Chunk.Sequence, 0)
