--- a/internal/gateway/batchlog.go
+++ b/internal/gateway/batchlog.go
@@ -9,43 +9,43 @@
 	"github.com/sirupsen/logrus"
 )
 
-// linesMost is how many lines a batch of changes writes one by one. A host that starts
-// hears of all servers at once; with a line for each it would start later, and a fleet
-// would write as many lines as it has hosts and servers, multiplied.
-const linesMost = 64
+// maxBatchLines is how many changes of one batch are logged individually. A starting host
+// learns of all servers at once: a line for each would delay its start, and a fleet would
+// write hosts × servers lines.
+const maxBatchLines = 64
 
-// batchLog writes the lines of one batch of changes, and counts those above linesMost.
+// batchLog logs the changes of one batch and counts those beyond maxBatchLines.
 type batchLog struct {
 	log   logrus.FieldLogger
 	lines int
-	// more has how often each message was left out.
-	more logrus.Fields
+	// suppressed counts the omitted lines by message.
+	suppressed logrus.Fields
 }
 
 func newBatchLog(log logrus.FieldLogger) *batchLog {
-	return &batchLog{log: log, more: make(logrus.Fields)}
+	return &batchLog{log: log, suppressed: make(logrus.Fields)}
 }
 
-// info writes a line, or counts it.
+// info logs a line, or counts it once the batch has reached maxBatchLines.
 func (b *batchLog) info(message string, fields logrus.Fields) {
-	if b.lines < linesMost {
+	if b.lines < maxBatchLines {
 		b.lines++
 		b.log.WithFields(fields).Info(message)
 		return
 	}
 	field := strings.ReplaceAll(message, " ", "_")
-	count, _ := b.more[field].(int)
-	b.more[field] = count + 1
+	count, _ := b.suppressed[field].(int)
+	b.suppressed[field] = count + 1
 }
 
-// warn writes a line whatever their number.
+// warn logs a line regardless of the limit.
 func (b *batchLog) warn(message string, fields logrus.Fields) {
 	b.log.WithFields(fields).Warn(message)
 }
 
-// end tells of what was counted.
-func (b *batchLog) end() {
-	if len(b.more) > 0 {
-		b.log.WithFields(b.more).Info("more backend servers changed at once")
+// logSuppressed logs the counts of the omitted lines.
+func (b *batchLog) logSuppressed() {
+	if len(b.suppressed) > 0 {
+		b.log.WithFields(b.suppressed).Info("further backend server changes were not logged individually")
 	}
 }
--- a/internal/gateway/parts.go
+++ b/internal/gateway/components.go
@@ -21,7 +21,7 @@
 	"github.com/wingvale/wingvale/internal/trial"
 )
 
-// newGossip returns the node's part of the talk with its peers.
+// newGossip returns the node's gossip with its peers.
 func (n *Node) newGossip() *peer.Gossip {
 	return peer.New(peer.Options{
 		View:     n.view,
@@ -29,18 +29,18 @@
 		HTTP:     n.peers,
 		Log:      n.log,
 		Scope:    n.options.Scope.SubScope("peer"),
-		Random:   child(n.random),
+		Random:   childRandom(n.random),
 		Listed:   func(netip.AddrPort) bool { return true },
 		Accepted: func(peerpb.Space, []published.Entry) { n.refresh() },
 		Link:     n.settings.Link * bytesPerMegabit,
-		Confirm:  func(ctx context.Context, space peerpb.Space) bool { return n.confirm.forPeer(ctx, space) },
+		Confirm:  func(ctx context.Context, space peerpb.Space) bool { return n.confirmer.confirmForPeer(ctx, space) },
 		Suspects: n.suspects,
-		Leaving:  n.peerTold,
-		Direct:   n.direct,
+		Leaving:  n.peerReportedLeaving,
+		Direct:   n.isDirect,
 	})
 }
 
-// newCore returns what serves requests.
+// newCore returns the relay core that serves requests.
 func (n *Node) newCore() *relay.Core {
 	s, o := n.settings, n.options
 	return relay.New(relay.Options{
@@ -52,23 +52,23 @@
 		Engines:      n.engines,
 		Notices:      n.notices,
 		Suspects:     n.suspects,
-		Confirm:      n.confirm.now,
+		Confirm:      n.confirmer.confirm,
 		Settled:      n.settled,
 		Boot:         o.Boot,
 		Heard:        n.gossip.Heard(),
 		Hosts:        n.serving,
 		Log:          n.log,
 		Scope:        o.Scope,
-		Random:       child(n.random),
+		Random:       childRandom(n.random),
 		RetryShare:   s.RetryShare,
 		RetryReserve: s.RetryReserve,
 		RetryWindow:  s.RetryWindow,
 	})
 }
 
-// newSuspects returns what is known of requests under which servers end, shared by
-// gossip. A host that answers no question for a try is passed over for those alone: the
-// pools that it owns may be well.
+// newSuspects returns the group that tracks requests suspected of crashing servers, shared by
+// gossip. A host that does not answer a query about a trial is skipped for trials only: the
+// pools that it owns may be fine.
 func (n *Node) newSuspects() *trial.Group {
 	return trial.New(trial.Options{
 		Owners: owner.NewFinder(n.settings.Callers, n.live),
--- a/internal/gateway/confirm.go
+++ b/internal/gateway/confirm.go
@@ -18,41 +18,41 @@
 )
 
 const (
-	// confirmedFor is how long one confirmation serves all who ask. A host asks
-	// one that watches, whose own may be as old: together they are below the
-	// time in which a configuration must be in force everywhere.
-	confirmedFor = 500 * time.Millisecond
-	// confirmWithin bounds a confirmation, a changed configuration included;
-	// confirmOthers is how much of it goes to asking other hosts.
-	confirmWithin = 1500 * time.Millisecond
-	confirmOthers = 800 * time.Millisecond
-	// confirmersPerZone is how many hosts of each availability zone ask the
-	// publisher for all; they are among those that watch.
+	// confirmationTTL is how long a successful confirmation is reused. A host may ask an
+	// elected one whose confirmation is equally old: both ages together stay below the time
+	// within which a configuration must be in force everywhere.
+	confirmationTTL = 500 * time.Millisecond
+	// confirmTimeout bounds a confirmation, including a changed configuration;
+	// confirmPeersTimeout is the part of it spent on asking other hosts.
+	confirmTimeout      = 1500 * time.Millisecond
+	confirmPeersTimeout = 800 * time.Millisecond
+	// confirmersPerZone is how many hosts of each availability zone ask the publisher on
+	// behalf of the others. They are among the hosts that watch it.
 	confirmersPerZone = 1
 )
 
-// confirmation shares one answer among those who ask at the same time and soon
-// after. It is safe for concurrent use.
-type confirmation struct {
-	// ask finds out.
-	ask func(ctx context.Context) bool
-	// ctx ends with the node.
+// sharedCheck shares the result of one check between concurrent callers, and with later ones
+// for confirmationTTL. It is safe for concurrent use.
+type sharedCheck struct {
+	// check performs the check.
+	check func(ctx context.Context) bool
+	// ctx is cancelled when the node stops.
 	ctx context.Context
-	// clock goes on while the host is suspended.
+	// clock also advances while the host is suspended.
 	clock func() time.Duration
 
 	mu sync.Mutex
-	// running is closed when the question under way is answered.
+	// running is closed when the check in progress ends; nil if there is none.
 	running chan struct{}
-	// at is when the last question was asked, by clock.
-	at time.Duration
-	ok bool
+	// checkedAt is when the last check started, by clock.
+	checkedAt time.Duration
+	ok        bool
 }
 
-// now returns an answer that is at most confirmedFor old.
-func (c *confirmation) now(ctx context.Context) bool {
+// result returns a result that is at most confirmationTTL old.
+func (c *sharedCheck) result(ctx context.Context) bool {
 	c.mu.Lock()
-	if c.ok && c.clock()-c.at < confirmedFor {
+	if c.ok && c.clock()-c.checkedAt < confirmationTTL {
 		c.mu.Unlock()
 		return true
 	}
@@ -73,64 +73,64 @@
 	return c.ok
 }
 
-func (c *confirmation) run(running chan struct{}) {
-	ctx, cancel := context.WithTimeout(c.ctx, confirmWithin)
+func (c *sharedCheck) run(running chan struct{}) {
+	ctx, cancel := context.WithTimeout(c.ctx, confirmTimeout)
 	defer cancel()
-	began := c.clock()
-	ok := c.ask(ctx)
+	startedAt := c.clock()
+	ok := c.check(ctx)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.ok, c.at = ok, began
+	c.ok, c.checkedAt = ok, startedAt
 	c.running = nil
 	close(running)
 }
 
-// confirmer makes sure that the node has the newest configuration. Only the
-// publisher knows: hosts that were asked agreed on an old one while the newer
-// was on its way to them, and refused callers of a route that was there. One host
-// of each availability zone asks for the others.
-type confirmer struct {
+// configConfirmer ensures that the node has the newest configuration. Only the publisher can
+// confirm that: peers once agreed on an old configuration while the newer one was on its way
+// to them, and refused callers of an existing route. One host of each availability zone asks
+// the publisher for the others.
+type configConfirmer struct {
 	node *Node
-	// byPublisher asks the publisher, all asks a host that does or else the
+	// publisherCheck asks the publisher; anyCheck asks a host that does, or else the
 	// publisher.
-	byPublisher *confirmation
-	all         *confirmation
+	publisherCheck *sharedCheck
+	anyCheck       *sharedCheck
 }
 
-func newConfirmer(n *Node) *confirmer {
-	c := &confirmer{node: n}
-	c.byPublisher = &confirmation{ask: c.askPublisher, ctx: n.ctx, clock: n.options.Boot}
-	c.all = &confirmation{ask: c.askAny, ctx: n.ctx, clock: n.options.Boot}
+func newConfirmer(n *Node) *configConfirmer {
+	c := &configConfirmer{node: n}
+	c.publisherCheck = &sharedCheck{check: c.askPublisher, ctx: n.ctx, clock: n.options.Boot}
+	c.anyCheck = &sharedCheck{check: c.askAny, ctx: n.ctx, clock: n.options.Boot}
 	return c
 }
 
-// now reports whether the configuration in force is as new as can be known.
-func (c *confirmer) now(ctx context.Context) bool {
-	return c.all.now(ctx)
+// confirm reports whether the configuration in force is confirmed to be the newest.
+func (c *configConfirmer) confirm(ctx context.Context) bool {
+	return c.anyCheck.result(ctx)
 }
 
-// forPeer answers another host's question.
-func (c *confirmer) forPeer(ctx context.Context, space peerpb.Space) bool {
-	return space == peerpb.Space_SPACE_CONFIGURATION && c.byPublisher.now(ctx)
+// confirmForPeer answers a peer's request for confirmation.
+func (c *configConfirmer) confirmForPeer(ctx context.Context, space peerpb.Space) bool {
+	return space == peerpb.Space_SPACE_CONFIGURATION && c.publisherCheck.result(ctx)
 }
 
-// askAny asks the publisher first where the node does so for others, and last
-// where it does not.
-func (c *confirmer) askAny(ctx context.Context) bool {
+// askAny asks the publisher first if the node is elected to do so for others; otherwise it
+// asks elected peers first and the publisher last.
+func (c *configConfirmer) askAny(ctx context.Context) bool {
 	n := c.node
 	elected := peer.ElectedEverywhere(n.view, string(publisher.SpaceConfiguration), confirmersPerZone)
 	others := slices.DeleteFunc(elected, func(m fleet.Member) bool { return m.Address == n.settings.Callers })
-	if len(others) < len(elected) && c.byPublisher.now(ctx) {
+	if len(others) < len(elected) && c.publisherCheck.result(ctx) {
 		return true
 	}
-	asked, cancel := context.WithTimeout(ctx, confirmOthers)
+	peersCtx, cancel := context.WithTimeout(ctx, confirmPeersTimeout)
 	defer cancel()
-	return n.gossip.Confirm(asked, peerpb.Space_SPACE_CONFIGURATION, others) || c.byPublisher.now(ctx)
+	return n.gossip.Confirm(peersCtx, peerpb.Space_SPACE_CONFIGURATION, others) || c.publisherCheck.result(ctx)
 }
 
-// askPublisher asks for what changed since the newest revision up to which the
-// node has all.
-func (c *confirmer) askPublisher(ctx context.Context) bool {
+// askPublisher reads the changes since the newest revision up to which the node has
+// everything.
+func (c *configConfirmer) askPublisher(ctx context.Context) bool {
 	n := c.node
 	through := n.directives.Summary().Through
 	if through == 0 {
@@ -141,22 +141,22 @@
 		return c.readPublisher(ctx)
 	}
 	if err != nil {
-		n.log.WithError(err).Info("the configuration could not be confirmed by the platform")
+		n.log.WithError(err).Info("failed to confirm the configuration with the platform")
 		return false
 	}
-	n.took(publisher.SpaceConfiguration, n.directives.Offer(values.Entries()...))
+	n.applyAndSpread(publisher.SpaceConfiguration, n.directives.Offer(values.Entries()...))
 	n.directives.Complete(values.Revision)
 	return true
 }
 
-func (c *confirmer) readPublisher(ctx context.Context) bool {
+func (c *configConfirmer) readPublisher(ctx context.Context) bool {
 	n := c.node
 	values, err := n.options.Source.Read(ctx, publisher.SpaceConfiguration)
 	if err != nil {
-		n.log.WithError(err).Info("the configuration could not be confirmed by the platform")
+		n.log.WithError(err).Info("failed to confirm the configuration with the platform")
 		return false
 	}
-	n.took(publisher.SpaceConfiguration, n.directives.OfferListing(published.Listing{Revision: values.Revision, Entries: values.Entries()}))
+	n.applyAndSpread(publisher.SpaceConfiguration, n.directives.OfferListing(published.Listing{Revision: values.Revision, Entries: values.Entries()}))
 	n.directives.Complete(values.Revision)
 	return true
 }
--- a/internal/gateway/doc.go
+++ b/internal/gateway/doc.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The Wingvale Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package gateway assembles a node that relays opaque requests: the core that
-// serves them, the stage pools it owns, the published configuration and backend
-// servers, and the other nodes.
+// Package gateway assembles a node that relays opaque requests: the relay core, the stage
+// pools that the node owns, the published configuration and backend servers, and the gossip
+// with other nodes.
 package gateway
--- a/internal/gateway/dump.go
+++ b/internal/gateway/dump.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	// dumpKeys bounds the keys of each published space in a dump.
+	// dumpKeys limits the keys of each published space in a dump.
 	dumpKeys = 200
-	// dumpSuspects bounds the suspected requests in a dump, and dumpNotices the backend
-	// servers that leave or rest.
+	// dumpSuspects limits the suspected requests in a dump, and dumpNotices the backend
+	// servers that are leaving or resting.
 	dumpSuspects = 50
 	dumpNotices  = 200
 )
 
-// Dump is what a node knows, for people.
+// Dump is the state of a node, for diagnosis.
 type Dump struct {
 	Node          string                     `json:"node"`
 	Zone          string                     `json:"zone"`
@@ -43,7 +43,7 @@
 	Connections   int64                      `json:"connections_opened"`
 }
 
-// Dump returns what the node knows now.
+// Dump returns the current state of the node.
 func (n *Node) Dump() Dump {
 	d := Dump{
 		Node:          n.settings.Callers.String(),
@@ -67,8 +67,8 @@
 	return d
 }
 
-// Reload takes over what may change while the node runs: the bounds on
-// retries. Addresses, the zone and the seeds stay until the next start.
+// Reload applies the settings that may change at run time: the retry limits. Changed
+// addresses, zones and seeds need a restart.
 func (n *Node) Reload(s settings.Gateway) {
 	n.core.SetRetries(s.RetryShare, s.RetryReserve, s.RetryWindow)
 }
--- a/internal/gateway/evacuation.go
+++ b/internal/gateway/evacuation.go
@@ -12,34 +12,34 @@
 	"github.com/wingvale/wingvale/internal/relay"
 )
 
-// Directive is what operators publish under one key: a configuration, or that the
-// backend servers of an availability zone are to get nothing. One of the two is set.
+// Directive is the value that operators publish under one key: a configuration, or the name of
+// an availability zone whose backend servers must get no requests. Exactly one of the two is
+// set.
 type Directive struct {
 	Catalog   *relay.Catalog
 	Evacuated string
 }
 
-// evacuation marks the servers of evacuated availability zones. They get nothing
-// from the moment at which the host hears of it: what is on its way then has the
-// whole of the time that the operators allow.
+// evacuation tracks the evacuated availability zones. Their servers get no new requests as
+// soon as the host learns of the evacuation, so that requests in flight have all of the time
+// that the operators allow.
 type evacuation struct {
-	// named are the zones in force when it was last looked.
-	named map[string]bool
+	// zones are the evacuated zones as of the last update.
+	zones map[string]bool
 }
 
-// mark takes in the zones that directives name, and reports whether they are others than
-// before.
-func (e *evacuation) mark(directives map[string]Directive, log logrus.FieldLogger) bool {
-	named := make(map[string]bool)
+// setZones sets the zones named by directives and reports whether they changed.
+func (e *evacuation) setZones(directives map[string]Directive, log logrus.FieldLogger) bool {
+	zones := make(map[string]bool)
 	for _, d := range directives {
 		if d.Evacuated != "" {
-			named[d.Evacuated] = true
+			zones[d.Evacuated] = true
 		}
 	}
-	if maps.Equal(named, e.named) {
+	if maps.Equal(zones, e.zones) {
 		return false
 	}
-	log.WithFields(logrus.Fields{"zones": slices.Sorted(maps.Keys(named)), "before": slices.Sorted(maps.Keys(e.named))}).Info("evacuated availability zones")
-	e.named = named
+	log.WithFields(logrus.Fields{"zones": slices.Sorted(maps.Keys(zones)), "before": slices.Sorted(maps.Keys(e.zones))}).Info("evacuated availability zones")
+	e.zones = zones
 	return true
 }
--- a/internal/gateway/export_test.go
+++ b/internal/gateway/export_test.go
@@ -16,39 +16,43 @@
 	"github.com/wingvale/wingvale/internal/relay"
 )
 
-// Members lets tests drive the list of backend servers.
-type Members struct {
-	m *members
-	// keys are those that were listed last.
+// ServerTable lets tests drive the table of backend servers.
+type ServerTable struct {
+	m *serverTable
+	// keys are the keys of the last listing.
 	keys map[string]bool
 }
 
-// NewMembers returns an empty list.
-func NewMembers() Members { return Members{m: newMembers(), keys: make(map[string]bool)} }
+// NewServerTable returns an empty table.
+func NewServerTable() ServerTable {
+	return ServerTable{m: newServerTable(), keys: make(map[string]bool)}
+}
 
-// Lost and Regained note an outage of the publisher.
-func (m Members) Lost(now time.Time) { m.m.lost(now) }
+// PublisherLost marks the start of an outage of the publisher.
+func (m ServerTable) PublisherLost(now time.Time) { m.m.publisherLost(now) }
 
-// Regained notes its end.
-func (m Members) Regained(now time.Time) { m.m.regained(now) }
+// PublisherRecovered marks the end of the outage.
+func (m ServerTable) PublisherRecovered(now time.Time) { m.m.publisherRecovered(now) }
 
-// Due reports whether a server is to be let go.
-func (m Members) Due(now time.Time) bool { return m.m.due(now) }
+// HasExpired reports whether the grace period of a lapsed server has expired.
+func (m ServerTable) HasExpired(now time.Time) bool { return m.m.hasExpired(now) }
 
-// DueIn is how long it is until the next server is to be let go.
-func (m Members) DueIn(now time.Time, most time.Duration) time.Duration { return m.m.dueIn(now, most) }
+// NextExpiry returns the time until the next lapsed server expires, at most limit.
+func (m ServerTable) NextExpiry(now time.Time, limit time.Duration) time.Duration {
+	return m.m.nextExpiry(now, limit)
+}
 
-// Merge takes in all that is listed, and returns the names of the servers to use.
-func (m Members) Merge(now time.Time, listed map[string]relay.Server, log logrus.FieldLogger) []string {
-	m.list(now, listed, 1, log)
+// Merge applies a complete listing and returns the names of the servers in use.
+func (m ServerTable) Merge(now time.Time, listed map[string]relay.Server, log logrus.FieldLogger) []string {
+	m.upsert(now, listed, 1, log)
 	var names []string
-	for _, k := range slices.SortedFunc(maps.Values(m.m.used), byAddress) {
-		names = append(names, k.listed.Instance)
+	for _, k := range slices.SortedFunc(maps.Values(m.m.byInstance), byAddress) {
+		names = append(names, k.published.Instance)
 	}
 	return names
 }
 
-func (m Members) list(now time.Time, listed map[string]relay.Server, revision uint64, log logrus.FieldLogger) {
+func (m ServerTable) upsert(now time.Time, listed map[string]relay.Server, revision uint64, log logrus.FieldLogger) {
 	var changed []publishedServer
 	for key := range m.keys {
 		if _, ok := listed[key]; !ok {
@@ -60,32 +64,32 @@
 		m.keys[key] = true
 		changed = append(changed, publishedServer{key: key, server: &s, revision: revision})
 	}
-	m.m.take(now, changed, log)
+	m.m.update(now, changed, log)
 }
 
-// ColdUntil returns until when a server counts as cold after a merge.
-func (m Members) ColdUntil(now time.Time, s relay.Server, revision uint64, log logrus.FieldLogger) time.Time {
-	m.list(now, map[string]relay.Server{s.Instance: s}, revision, log)
-	return m.m.used[s.Instance].coldUntil
+// ColdUntil returns the end of a server's cold phase after a merge.
+func (m ServerTable) ColdUntil(now time.Time, s relay.Server, revision uint64, log logrus.FieldLogger) time.Time {
+	m.upsert(now, map[string]relay.Server{s.Instance: s}, revision, log)
+	return m.m.byInstance[s.Instance].coldUntil
 }
 
-// CountClient and CountHandler count what goes between nodes.
+// CountClient returns a transport that counts the bytes sent to and received from peers.
 func CountClient(s tally.Scope, next http.RoundTripper) http.RoundTripper {
 	return traffic{scope: s}.client(next)
 }
 
-// CountHandler is the other end's.
+// CountHandler returns a handler that counts the bytes received from and sent to peers.
 func CountHandler(s tally.Scope, next http.Handler) http.Handler {
 	return traffic{scope: s}.handler(next)
 }
 
-// Offer and OfferServers take in what is published and bring it into force.
+// Offer offers published configuration entries and applies them.
 func (n *Node) Offer(entries ...published.Entry) {
 	n.directives.Offer(entries...)
 	n.refresh()
 }
 
-// OfferServers is Offer for backend servers.
+// OfferServers offers published backend server entries and applies them.
 func (n *Node) OfferServers(entries ...published.Entry) {
 	n.listed.Offer(entries...)
 	n.refresh()
--- a/internal/gateway/hosts.go
+++ b/internal/gateway/hosts.go
@@ -11,80 +11,80 @@
 	"github.com/wingvale/wingvale/internal/owner"
 )
 
-// hosts has what requests need of the fleet's view, made anew when the view's version
-// rises and shared until then. It is safe for concurrent use.
-type hosts struct {
+// hostCache caches what requests need of the fleet's view, and rebuilds it when the version of
+// the view changes. It is safe for concurrent use.
+type hostCache struct {
 	node *Node
 
 	mu sync.Mutex
-	// known is what was made last; nil before the first.
-	known *knownHosts
+	// snapshot is the last snapshot; nil before the first.
+	snapshot *hostSnapshot
 }
 
-// knownHosts are the hosts as of one version of the view. They never change.
-type knownHosts struct {
+// hostSnapshot is the set of hosts at one version of the view. It is immutable.
+type hostSnapshot struct {
 	version uint64
 	leaving bool
-	// owners are the hosts that work, the host itself included unless it leaves.
+	// owners are the live hosts, including this one unless it is leaving.
 	owners *owner.Hosts
-	// entries are the other hosts that work, for callers.
-	entries []entry
-	// serving is how many hosts serve callers: those that leave still do.
+	// entries are the addresses for callers of the other live hosts.
+	entries []callerEntry
+	// serving counts the hosts that serve callers, including those that are leaving.
 	serving int
-	// reading is how many others the publisher answers.
-	reading int
+	// readers counts the other hosts that can read from the publisher.
+	readers int
 }
 
-// entry is a host that callers may use.
-type entry struct {
+// callerEntry is a host that callers may use.
+type callerEntry struct {
 	address netip.AddrPort
 	region  string
 }
 
-func newHosts(n *Node) *hosts {
-	return &hosts{node: n}
+func newHostCache(n *Node) *hostCache {
+	return &hostCache{node: n}
 }
 
-// now returns the hosts as they are known now.
-func (h *hosts) now() *knownHosts {
+// current returns the snapshot for the current version of the view.
+func (h *hostCache) current() *hostSnapshot {
 	version, leaving := h.node.view.Version(), h.node.leaving.Load()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.known == nil || h.known.version != version || h.known.leaving != leaving {
-		h.known = h.node.knownHosts(version, leaving)
+	if h.snapshot == nil || h.snapshot.version != version || h.snapshot.leaving != leaving {
+		h.snapshot = h.node.newHostSnapshot(version, leaving)
 	}
-	return h.known
+	return h.snapshot
 }
 
-// knownHosts looks through the view, which may be newer than version: then it is looked
-// through again next time.
-func (n *Node) knownHosts(version uint64, leaving bool) *knownHosts {
-	known := &knownHosts{version: version, leaving: leaving, serving: 1}
+// newHostSnapshot builds a snapshot. The view may be newer than version already; the next call
+// of current then builds another one.
+func (n *Node) newHostSnapshot(version uint64, leaving bool) *hostSnapshot {
+	known := &hostSnapshot{version: version, leaving: leaving, serving: 1}
 	var peers []owner.Peer
 	if !leaving {
 		peers = append(peers, n.self())
 	}
 	for _, m := range n.view.Members() {
 		if m.Reads && m.State == fleet.StateLive {
-			known.reading++
+			known.readers++
 		}
 		switch m.State {
 		case fleet.StateLive:
 			known.serving++
-			known.entries = append(known.entries, entry{address: m.Address, region: n.settings.Regions[m.Zone]})
+			known.entries = append(known.entries, callerEntry{address: m.Address, region: n.settings.Regions[m.Zone]})
 			peers = append(peers, peerOf(m))
 		case fleet.StateLeaving:
 			known.serving++
 		case fleet.StateSuspect, fleet.StateGone:
 		}
 	}
-	known.owners = owner.NewHosts(n.orLast(peers))
+	known.owners = owner.NewHosts(n.orLastLeaving(peers))
 	return known
 }
 
-// orLast returns peers, or where there are none those that leave: until others start,
-// they are all there is, and must agree on who owns what.
-func (n *Node) orLast(peers []owner.Peer) []owner.Peer {
+// orLastLeaving returns peers or, if there are none, the hosts that are leaving: until others
+// start, they are the only ones and must agree on the owners of pools.
+func (n *Node) orLastLeaving(peers []owner.Peer) []owner.Peer {
 	if len(peers) > 0 {
 		return peers
 	}
@@ -95,14 +95,14 @@
 	return peers
 }
 
-// live returns the nodes that work, this one included unless it leaves.
+// live returns the live nodes, including this one unless it is leaving.
 func (n *Node) live() *owner.Hosts {
-	return n.hosts.now().owners
+	return n.hostCache.current().owners
 }
 
-// serving returns how many hosts serve callers.
+// serving returns the number of hosts that serve callers.
 func (n *Node) serving() int {
-	return n.hosts.now().serving
+	return n.hostCache.current().serving
 }
 
 func (n *Node) self() owner.Peer {
--- /dev/null
+++ b/internal/gateway/maintenance.go
@@ -0,0 +1,85 @@
+// Copyright 2026 The Wingvale Authors
+// SPDX-License-Identifier: Apache-2.0
+
+package gateway
+
+import (
+	"context"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"github.com/wingvale/wingvale/internal/published"
+)
+
+const (
+	tickInterval = 200 * time.Millisecond
+	// pauseThreshold is the gap between two ticks above which the process counts as paused, so
+	// that its state may be stale.
+	pauseThreshold = 1500 * time.Millisecond
+	pruneInterval  = time.Second
+)
+
+// maintain detects pauses, closes idle connections, and drops expired servers.
+func (n *Node) maintain(ctx context.Context) {
+	n.lastTick.Store(int64(n.options.Boot()))
+	timer := time.NewTimer(tickInterval)
+	defer timer.Stop()
+	pruned := time.Now()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-timer.C:
+		}
+		now := time.Now()
+		if n.paused() {
+			n.log.WithField("gap_ms", n.sinceLastTick().Milliseconds()).Warn("the process stood still; confirming the configuration")
+			n.confirmer.confirm(ctx)
+		}
+		n.lastTick.Store(int64(n.options.Boot()))
+		if n.serverTable.hasExpired(now) {
+			n.refresh()
+		}
+		n.reportHosts()
+		n.logRejected(n.directives.TakeRejected())
+		n.logRejected(n.listed.TakeRejected())
+		if now.Sub(pruned) >= pruneInterval {
+			pruned = now
+			n.backends.Prune(now)
+			n.suspects.Forget()
+			n.notices.Listed(n.serverTable.contains)
+			n.notices.Forget()
+		}
+		timer.Reset(n.serverTable.nextExpiry(time.Now(), tickInterval))
+	}
+}
+
+// reportHosts updates the metric of live hosts and logs their number if it changed.
+func (n *Node) reportHosts() {
+	live := n.serving()
+	n.options.Scope.Gauge("hosts_known").Update(float64(live))
+	if live == n.loggedHosts {
+		return
+	}
+	n.log.WithFields(logrus.Fields{"hosts": live, "before": n.loggedHosts}).Info("hosts known")
+	n.loggedHosts = live
+}
+
+// logRejected logs rejected values; the last valid ones stay in force.
+func (n *Node) logRejected(rejected []published.Rejection) {
+	for _, r := range rejected {
+		n.log.WithFields(logrus.Fields{"key": r.Key, "revision": r.Revision, "reason": r.Reason}).Warn("published value rejected")
+	}
+}
+
+// sinceLastTick returns how long ago the process was last seen running. With the monotonic
+// clock alone, a host that had been suspended served callers whose keys had been revoked in
+// the meantime.
+func (n *Node) sinceLastTick() time.Duration {
+	return n.options.Boot() - time.Duration(n.lastTick.Load())
+}
+
+func (n *Node) paused() bool {
+	return n.sinceLastTick() > pauseThreshold
+}
--- a/internal/gateway/node.go
+++ b/internal/gateway/node.go
@@ -32,86 +32,84 @@
 	"github.com/wingvale/wingvale/request"
 )
 
-// Options are a Node's dependencies; all are needed.
+// Options are the dependencies of a Node. All are required.
 type Options struct {
 	Settings settings.Gateway
 	Log      logrus.FieldLogger
 	Scope    tally.Scope
 	Dial     exchange.Dial
-	// Source is where configuration and backend servers are read.
+	// Source is where the configuration and the backend servers are read.
 	Source publisher.Source
-	// ConfigurationKey is the key that has the whole configuration.
+	// ConfigurationKey is the key that holds the whole configuration.
 	ConfigurationKey string
-	// DecodeDirective and DecodeServer depend on nothing but their arguments, so
-	// that all nodes accept alike.
+	// DecodeDirective and DecodeServer depend on nothing but their arguments, so that all
+	// nodes accept the same values.
 	DecodeDirective func(key string, data []byte) (Directive, error)
 	DecodeServer    func(key string, data []byte) (relay.Server, error)
 	Dialect         relay.Dialect
-	// StageDriver returns what speaks to stage servers over the connections of
-	// pool, and notes what they say of themselves.
+	// StageDriver returns the driver that calls stage servers over the connections of pool and
+	// records the notices in their answers.
 	StageDriver func(pool *exchange.Pool, notices *notice.Book) stagepool.Driver
 	Seed        uint64
-	// Boot is the clock that goes on while the host is suspended, which the steady one
-	// doesn't.
+	// Boot is a clock that, unlike the monotonic clock, also advances while the host is
+	// suspended.
 	Boot func() time.Duration
 }
 
-// Node is one host. Run must be called once.
+// Node is one host. Run must be called exactly once.
 type Node struct {
 	options  Options
 	settings settings.Gateway
 	log      logrus.FieldLogger
 
-	directives *published.Store[Directive]
-	listed     *published.Store[*relay.Server]
-	view       *fleet.View
-	gossip     *peer.Gossip
-	stores     map[publisher.Space]watchedStore
-	watchers   []*publisher.Watcher
-	peers      *http.Client
-	backends   *exchange.Pool
-	stages     *stagepool.Group
-	engines    *enginepool.Group
-	notices    *notice.Book
-	suspects   *trial.Group
-	core       *relay.Core
-	members    *members
-	hosts      *hosts
-	evacuation evacuation
-	// kinds is what the configuration in force says of the services; only refresh
-	// touches it.
-	kinds   kinds
-	confirm *confirmer
-	reading *reading
-	random  *rand.Rand
+	directives  *published.Store[Directive]
+	listed      *published.Store[*relay.Server]
+	view        *fleet.View
+	gossip      *peer.Gossip
+	stores      map[publisher.Space]watchedStore
+	watchers    []*publisher.Watcher
+	peers       *http.Client
+	backends    *exchange.Pool
+	stages      *stagepool.Group
+	engines     *enginepool.Group
+	notices     *notice.Book
+	suspects    *trial.Group
+	core        *relay.Core
+	serverTable *serverTable
+	hostCache   *hostCache
+	evacuation  evacuation
+	// serviceSpecs are those of the configuration in force; only refresh uses them.
+	serviceSpecs serviceSpecs
+	confirmer    *configConfirmer
+	readStatus   *readStatus
+	random       *rand.Rand
 
 	refreshing sync.Mutex
 
-	ctx context.Context
-	end context.CancelFunc
-	// meeting has the tries to reach seeds; only begin adds to it.
-	meeting sync.WaitGroup
-	// settled is closed when the view counts as whole.
+	ctx       context.Context
+	cancelCtx context.CancelFunc
+	// seedContacts tracks the attempts to contact seeds; only bringUp adds to it.
+	seedContacts sync.WaitGroup
+	// settled is closed when the view counts as complete.
 	settled  chan struct{}
 	ready    atomic.Bool
 	leaving  atomic.Bool
 	inFlight atomic.Int64
-	// lastTick is when the process was last seen to run, by the clock that goes on while
-	// the host is suspended.
+	// lastTick is when the process was last seen running, by the clock that also advances
+	// while the host is suspended.
 	lastTick atomic.Int64
-	// toldHosts is how many hosts were known when that was last logged; only the
-	// upkeep uses it.
-	toldHosts int
-	start     time.Time
-	done      chan struct{}
+	// loggedHosts is the number of known hosts that was last logged; only maintain uses it.
+	loggedHosts int
+	start       time.Time
+	done        chan struct{}
 }
 
-// New returns a node that has not started.
+// New returns a node that is not yet running.
 func New(o Options) *Node {
 	now := time.Now()
 	s := o.Settings
 	random := rand.New(rand.NewPCG(o.Seed, uint64(s.Callers.Port())))
-	ctx, end := context.WithCancel(context.Background())
+	ctx, cancelCtx := context.WithCancel(context.Background())
 	n := &Node{
 		options:    o,
 		settings:   s,
@@ -122,7 +120,7 @@
 		backends:   exchange.NewPool(o.Dial),
 		random:     random,
 		ctx:        ctx,
-		end:        end,
+		cancelCtx:  cancelCtx,
 		start:      now,
 		settled:    make(chan struct{}),
 		done:       make(chan struct{}),
@@ -135,7 +133,7 @@
 		Beat:        uint64(now.Add(s.ClockOffset).UnixMilli()),
 		Capacity:    capacityOf(s),
 	}, now, fleet.Options{})
-	n.hosts = newHosts(n)
+	n.hostCache = newHostCache(n)
 	owners := owner.NewFinder(s.Callers, n.live)
 	n.suspects = n.newSuspects()
 	n.notices = n.newNotices()
@@ -150,10 +148,10 @@
 		Scope:  o.Scope.SubScope("stages"),
 	})
 	n.engines = enginepool.New(ctx, enginepool.Options{Owners: owners, HTTP: n.peers, Log: n.log, Scope: o.Scope.SubScope("engines")})
-	n.confirm = newConfirmer(n)
+	n.confirmer = newConfirmer(n)
 	n.core = n.newCore()
-	n.members = newMembers()
-	n.reading = newReading()
+	n.serverTable = newServerTable()
+	n.readStatus = newReadStatus()
 	n.stores = map[publisher.Space]watchedStore{publisher.SpaceConfiguration: n.directives, publisher.SpaceHosts: n.listed}
 	n.watchers = []*publisher.Watcher{
 		n.newWatcher(publisher.SpaceConfiguration, n.directives),
@@ -162,7 +160,7 @@
 	return n
 }
 
-// sharedServer decodes servers that are shared from then on.
+// sharedServer wraps decode to return servers that are shared by pointer.
 func sharedServer(decode func(key string, data []byte) (relay.Server, error)) func(key string, data []byte) (*relay.Server, error) {
 	return func(key string, data []byte) (*relay.Server, error) {
 		s, err := decode(key, data)
@@ -173,72 +171,72 @@
 	}
 }
 
-// bytesPerMegabit are the bytes a second of a link of 1 Mbit/s.
+// bytesPerMegabit is the bytes per second of a link of 1 Mbit/s.
 const bytesPerMegabit = 1e6 / 8
 
 const (
-	// capacityLink and capacityCores are what an owner of a large pool uses: it
-	// sends some 0.6 MB a second and takes a tenth of a core.
-	capacityLink  = 10.0
-	capacityCores = 0.1
+	// poolLinkMbps and poolCores are the resources that owning a large pool takes: it sends
+	// some 0.6 MB a second and uses a tenth of a core.
+	poolLinkMbps = 10.0
+	poolCores    = 0.1
 )
 
-// capacityOf is how many large pools a host could own; 0 where its settings do
-// not tell.
+// capacityOf returns how many large pools a host could own; 0 if its settings do not say.
 func capacityOf(s settings.Gateway) int {
 	if s.Link == 0 || s.Cores == 0 {
 		return 0
 	}
-	pools := min(s.Link/capacityLink, s.Cores/capacityCores)
+	pools := min(s.Link/poolLinkMbps, s.Cores/poolCores)
 	return int(min(max(pools, 1), fleet.CapacityMost))
 }
 
-func child(random *rand.Rand) *rand.Rand {
+func childRandom(random *rand.Rand) *rand.Rand {
 	return rand.New(rand.NewPCG(random.Uint64(), random.Uint64()))
 }
 
-// peerIdle is how long connections from other hosts are kept.
-const peerIdle = 60 * time.Second
+// peerIdleTimeout is how long idle connections from other hosts are kept open.
+const peerIdleTimeout = 60 * time.Second
 
-// watchersAll is up to how many nodes all watch; above, watchersPerZone do in
-// each availability zone, and the rest hear from peers.
+// maxAllWatch is the fleet size up to which all nodes watch the publisher. In larger fleets,
+// watchersPerZone nodes of each availability zone watch, and the rest get the changes from
+// peers.
 const (
-	watchersAll     = 12
+	maxAllWatch     = 12
 	watchersPerZone = 3
-	// backoffMost bounds the pause between tries to reach the publisher, so
-	// that its return is noticed in time.
-	backoffMost = 500 * time.Millisecond
-	// hadMost is how long a host that starts waits for what its peers have, once the
-	// publisher answers one of them, before it reads all itself.
-	hadMost = 3 * time.Second
-	// watchPause gathers changes that come in a row, as when many servers
-	// start; it is small beside the 2 s in which a change must be in force.
-	watchPause = 200 * time.Millisecond
+	// maxBackoff limits the backoff between attempts to reach the publisher, so that its
+	// recovery is noticed in time.
+	maxBackoff = 500 * time.Millisecond
+	// peerCopyTimeout is how long a starting host waits for the values that its peers have,
+	// once the publisher answers one of them, before it reads all of them itself.
+	peerCopyTimeout = 3 * time.Second
+	// watchBatchDelay batches changes in quick succession, as when many servers start. It is
+	// short compared with the 2 s in which a change must be in force.
+	watchBatchDelay = 200 * time.Millisecond
 )
 
-// spaces has what the peers call the publisher's spaces.
-var spaces = map[publisher.Space]peerpb.Space{
+// peerSpaces maps the publisher's spaces to those of the peer protocol.
+var peerSpaces = map[publisher.Space]peerpb.Space{
 	publisher.SpaceConfiguration: peerpb.Space_SPACE_CONFIGURATION,
 	publisher.SpaceHosts:         peerpb.Space_SPACE_HOSTS,
 }
 
-// took brings what came from the publisher into force and passes it on.
-func (n *Node) took(space publisher.Space, entries []published.Entry) {
+// applyAndSpread applies entries from the publisher and gossips them.
+func (n *Node) applyAndSpread(space publisher.Space, entries []published.Entry) {
 	if len(entries) == 0 {
 		return
 	}
 	n.refresh()
-	n.gossip.Spread(spaces[space], entries)
+	n.gossip.Spread(peerSpaces[space], entries)
 }
 
-// answers notes whether the publisher answers. Others are told at once: they
-// leave reading to those that it answers.
-func (n *Node) answers(space publisher.Space, answers bool) {
-	if !n.view.SetReads(n.reading.set(space, answers)) {
+// setPublisherAnswers records whether the publisher answers, and announces a change to peers
+// at once, so that hosts which it does not answer leave the reading to those which it does.
+func (n *Node) setPublisherAnswers(space publisher.Space, answers bool) {
+	if !n.view.SetReads(n.readStatus.set(space, answers)) {
 		return
 	}
-	n.log.WithField("reads", n.view.Self().Reads).Info("peers are told whether the platform answers")
-	n.gossip.Announce(n.ctx, announceTo)
+	n.log.WithField("reads", n.view.Self().Reads).Info("announcing to peers whether the platform answers")
+	n.gossip.Announce(n.ctx, announceFanout)
 }
 
 func (n *Node) newWatcher(space publisher.Space, store watchedStore) *publisher.Watcher {
@@ -247,48 +245,49 @@
 		Space:    space,
 		Store:    store,
 		Must:     func() bool { return n.mustWatch(space) },
-		Had:      func(ctx context.Context, yield func()) uint64 { return n.had(ctx, space, yield) },
+		Had:      func(ctx context.Context, yield func()) uint64 { return n.waitForPeerCopy(ctx, space, yield) },
 		Through:  func() uint64 { return store.Summary().Through },
-		Answers:  func(answers bool) { n.answers(space, answers) },
-		Accepted: func(entries []published.Entry) { n.watched(space, entries) },
+		Answers:  func(answers bool) { n.setPublisherAnswers(space, answers) },
+		Accepted: func(entries []published.Entry) { n.applyWatched(space, entries) },
 		Brought: func(after, through uint64, entries []published.Entry) {
-			n.tell(space, peer.Changes{After: after, Through: through, Entries: entries})
+			n.sendDirect(space, peer.Changes{After: after, Through: through, Entries: entries})
 		},
-		Lost:        func() { n.members.lost(time.Now()) },
-		Regained:    func() { n.members.regained(time.Now()) },
+		Lost:        func() { n.serverTable.publisherLost(time.Now()) },
+		Regained:    func() { n.serverTable.publisherRecovered(time.Now()) },
 		Log:         n.log,
-		Random:      child(n.random),
-		MostBackoff: backoffMost,
-		Pause:       watchPause,
+		Random:      childRandom(n.random),
+		MostBackoff: maxBackoff,
+		Pause:       watchBatchDelay,
 	})
 }
 
-// watched brings what a watch brought into force, and passes it on unless hosts that watch
-// tell all others.
-func (n *Node) watched(space publisher.Space, entries []published.Entry) {
-	if n.direct(spaces[space]) {
+// applyWatched applies entries received by a watch, and gossips them unless the watching hosts
+// send them to all others directly.
+func (n *Node) applyWatched(space publisher.Space, entries []published.Entry) {
+	if n.isDirect(peerSpaces[space]) {
 		n.refresh()
 		return
 	}
-	n.took(space, entries)
+	n.applyAndSpread(space, entries)
 }
 
-// tell hands what a watch brought to the hosts that this one tells.
-func (n *Node) tell(space publisher.Space, changes peer.Changes) {
-	if n.direct(spaces[space]) {
-		n.gossip.TellDirect(spaces[space], changes, peer.ElectedEverywhere(n.view, string(space), watchersPerZone))
+// sendDirect sends changes received by a watch to the hosts that this one is responsible for.
+func (n *Node) sendDirect(space publisher.Space, changes peer.Changes) {
+	if n.isDirect(peerSpaces[space]) {
+		n.gossip.TellDirect(peerSpaces[space], changes, peer.ElectedEverywhere(n.view, string(space), watchersPerZone))
 	}
 }
 
-// direct reports whether the hosts that watch a space tell all others: in a small fleet all
-// watch, and configurations are too large for that.
-func (n *Node) direct(space peerpb.Space) bool {
+// isDirect reports whether the hosts that watch a space send its changes to all others
+// directly. In a small fleet all hosts watch, and configurations are too large to be sent
+// directly.
+func (n *Node) isDirect(space peerpb.Space) bool {
 	return space == peerpb.Space_SPACE_HOSTS && n.isLarge()
 }
 
-// isLarge reports whether only some of the hosts watch.
+// isLarge reports whether the fleet is so large that only some of the hosts watch.
 func (n *Node) isLarge() bool {
-	return n.live().Count() > watchersAll
+	return n.live().Count() > maxAllWatch
 }
 
 // watchedStore is a store that a watcher keeps up to date.
@@ -297,61 +296,60 @@
 	Summary() published.Summary
 }
 
-// had waits until peers have told all of a space, where others watch it: see
-// publisher.WatcherOptions. While the publisher answers none of them there is nothing to be
-// told, and nothing to be read either.
-func (n *Node) had(ctx context.Context, space publisher.Space, yield func()) uint64 {
+// waitForPeerCopy waits until peers have sent all of a space that other hosts watch, and
+// returns its revision, or 0; see publisher.WatcherOptions. While the publisher answers none
+// of the peers, they have nothing to send, and there is nothing to read either.
+func (n *Node) waitForPeerCopy(ctx context.Context, space publisher.Space, yield func()) uint64 {
 	select {
 	case <-ctx.Done():
 		return 0
 	case <-n.settled:
 	}
 	store := n.stores[space]
-	var told time.Time
-	for ctx.Err() == nil && !n.watches(space) {
+	var readableSince time.Time
+	for ctx.Err() == nil && !n.isWatcher(space) {
 		yield()
 		if through := store.Summary().Through; through > 0 {
 			return through
 		}
-		if told.IsZero() && n.hosts.now().reading > 0 {
-			told = time.Now()
+		if readableSince.IsZero() && n.hostCache.current().readers > 0 {
+			readableSince = time.Now()
 		}
-		if !told.IsZero() && time.Since(told) >= hadMost {
+		if !readableSince.IsZero() && time.Since(readableSince) >= peerCopyTimeout {
 			return 0
 		}
-		sleep(ctx, beginEvery)
+		sleep(ctx, readyCheckInterval)
 	}
 	return 0
 }
 
-// watches reports whether the node is one of those that watch a space, as far as the
-// view tells.
-func (n *Node) watches(space publisher.Space) bool {
+// isWatcher reports whether the node is elected to watch a space, according to the view.
+func (n *Node) isWatcher(space publisher.Space) bool {
 	return !n.isLarge() || peer.Elected(n.view, string(space), watchersPerZone)
 }
 
-// mustWatch reports whether the node watches a space. One that does not know the
-// others yet waits until it does: each of 295 that start together would take itself
-// for one of few.
+// mustWatch reports whether the node has to watch a space. A node that does not know the
+// others yet waits until it does: otherwise each of 295 that start together would believe the
+// fleet to be small.
 func (n *Node) mustWatch(space publisher.Space) bool {
-	if !n.reading.of(space) {
+	if !n.readStatus.isAnswered(space) {
 		return true
 	}
-	return n.isSettled() && n.watches(space)
+	return n.isSettled() && n.isWatcher(space)
 }
 
-// Done is closed when Run has returned.
+// Done returns a channel that is closed when Run has returned.
 func (n *Node) Done() <-chan struct{} {
 	return n.done
 }
 
-// Core returns what serves requests.
+// Core returns the relay core that serves requests.
 func (n *Node) Core() *relay.Core {
 	return n.core
 }
 
-// Run serves the other nodes on l and keeps the node's knowledge up to date
-// until ctx ends.
+// Run serves the other nodes on l and keeps the node's state up to date until ctx is
+// cancelled.
 func (n *Node) Run(ctx context.Context, l net.Listener) error {
 	defer close(n.done)
 	ctx, cancel := context.WithCancel(ctx)
@@ -360,24 +358,24 @@
 	path, handler := n.gossip.Handler()
 	mux.Mount(path, handler)
 	path, handler = n.stages.Handler()
-	mux.Mount(path, n.counted(handler))
+	mux.Mount(path, n.countInFlight(handler))
 	path, handler = n.engines.Handler()
 	mux.Mount(path, handler)
 	counted := traffic{scope: n.options.Scope.SubScope("peer")}.handler(mux)
-	server := &http.Server{Handler: counted, ReadHeaderTimeout: headerTimeout, IdleTimeout: peerIdle}
-	var parts sync.WaitGroup
+	server := &http.Server{Handler: counted, ReadHeaderTimeout: headerTimeout, IdleTimeout: peerIdleTimeout}
+	var tasks sync.WaitGroup
 	for _, w := range n.watchers {
-		parts.Go(func() { w.Run(ctx) })
+		tasks.Go(func() { w.Run(ctx) })
 	}
-	parts.Go(func() { n.gossip.Run(ctx) })
-	parts.Go(func() { n.upkeep(ctx) })
-	parts.Go(func() { n.begin(ctx) })
-	parts.Go(func() { n.settle(ctx) })
+	tasks.Go(func() { n.gossip.Run(ctx) })
+	tasks.Go(func() { n.maintain(ctx) })
+	tasks.Go(func() { n.bringUp(ctx) })
+	tasks.Go(func() { n.settle(ctx) })
 	context.AfterFunc(ctx, func() { _ = server.Close() })
 	err := server.Serve(l)
 	cancel()
-	n.end()
-	parts.Wait()
+	n.cancelCtx()
+	tasks.Wait()
 	n.backends.Close()
 	n.peers.CloseIdleConnections()
 	if ctx.Err() != nil {
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -10,10 +10,11 @@
 	"github.com/wingvale/wingvale/internal/notice"
 )
 
-// noticesStream keeps the chance by which rests end from that of the other parts.
+// noticesStream keeps the random numbers for the ends of rests apart from those of other
+// parts.
 const noticesStream = 1 << 32
 
-// newNotices returns what is known of backend servers by their own words.
+// newNotices returns the book of what backend servers announced about themselves.
 func (n *Node) newNotices() *notice.Book {
 	return notice.NewBook(notice.Options{
 		Boot:   n.options.Boot,
@@ -24,21 +25,22 @@
 	})
 }
 
-// serverLeaves brings it into force at once that a backend server leaves. What it told
-// this host is passed on: the publisher may be away, and then its answers alone tell.
+// serverLeaves applies at once that a backend server is leaving. If the server announced it in
+// an answer to this host, it is passed on to peers: while the publisher is unavailable,
+// answers are the only source.
 func (n *Node) serverLeaves(s notice.Server, from notice.Source) {
 	if from == notice.SourceList {
-		// It is being brought into force, and others read it themselves.
+		// It is already being applied, and other hosts read the list themselves.
 		return
 	}
 	if from == notice.SourceAnswer {
 		n.gossip.TellLeaving(fleet.LeavingServer{Address: s.Address, Instance: s.Instance})
 	}
-	n.members.touch(s.Instance)
+	n.serverTable.markDirty(s.Instance)
 	n.refresh()
 }
 
-// peerTold takes in that another host knows of a backend server that leaves.
-func (n *Node) peerTold(s fleet.LeavingServer) {
+// peerReportedLeaving records a peer's report that a backend server is leaving.
+func (n *Node) peerReportedLeaving(s fleet.LeavingServer) {
 	n.notices.Left(notice.Server{Instance: s.Instance, Address: s.Address}, notice.SourcePeer)
 }
--- a/internal/gateway/ready.go
+++ b/internal/gateway/ready.go
@@ -19,55 +19,53 @@
 )
 
 const (
-	// beginEvery is how often a starting node looks whether it has what it needs;
-	// at each seedsShare-th time it tries its seeds. seedsEvery is how often a
-	// running one tries them again, so that parts of the fleet that started apart
-	// meet.
-	beginEvery = 25 * time.Millisecond
-	seedsShare = 4
-	seedsEvery = 3 * time.Second
-	// settledAfter is for how long the hosts that may own pools must have been the
-	// same for them to count as known, some rounds of quick heartbeats; settledMost is
-	// how long after its start a host waits for that: 295 that start together know each
-	// other after 0.8 s.
-	settledAfter = 100 * time.Millisecond
-	settledMost  = time.Second
-	settledEvery = 25 * time.Millisecond
-	// consulted is how many peers a starting node asks for what they have.
-	consulted = 2
-	// entriesMost bounds the addresses in one answer.
-	entriesMost = 64
-	// announceTo is how many peers hear at once that a node leaves.
-	announceTo = 8
+	// readyCheckInterval is how often a starting node checks whether it is ready; on every
+	// seedCheckRatio-th check it contacts its seeds. seedInterval is how often a running node
+	// contacts them again, so that parts of the fleet that started separately find each other.
+	readyCheckInterval = 25 * time.Millisecond
+	seedCheckRatio     = 4
+	seedInterval       = 3 * time.Second
+	// settledAfter is how long the hosts that may own pools must have been unchanged to count
+	// as known, a few rounds of fast heartbeats. settleTimeout limits the wait for that after
+	// the start of a host: 295 hosts that start together know each other after 0.8 s.
+	settledAfter   = 100 * time.Millisecond
+	settleTimeout  = time.Second
+	settleInterval = 25 * time.Millisecond
+	// syncPeers is how many peers a starting node synchronises with.
+	syncPeers = 2
+	// maxEntries limits the addresses in one answer.
+	maxEntries = 64
+	// announceFanout is how many peers are notified at once that a node is leaving.
+	announceFanout = 8
 )
 
-// begin makes the node ready once it has what the publisher and the peers have,
-// and goes on to look for peers at the seeds.
-func (n *Node) begin(ctx context.Context) {
-	patience := time.Now().Add(n.settings.ReadyAfter)
+// bringUp makes the node ready once it has the values of the publisher and of peers, and then
+// keeps contacting the seeds.
+func (n *Node) bringUp(ctx context.Context) {
+	readyDeadline := time.Now().Add(n.settings.ReadyAfter)
 	for tries := 0; ctx.Err() == nil; tries++ {
-		if tries%seedsShare == 0 {
-			n.meetSeeds(ctx)
+		if tries%seedCheckRatio == 0 {
+			n.contactSeeds(ctx)
 		}
-		met := n.meet(ctx)
-		read := n.read()
-		patient := time.Now().Before(patience)
+		synced := n.syncWithPeers(ctx)
+		read := n.hasRead()
+		waiting := time.Now().Before(readyDeadline)
 		known := n.core.Catalog() != nil
-		if known && (read && met || !patient && (read || met)) {
+		if known && (read && synced || !waiting && (read || synced)) {
 			n.ready.Store(true)
-			n.log.WithField("read", read).WithField("met", met).Info("ready")
+			n.log.WithField("read", read).WithField("met", synced).Info("ready")
 			break
 		}
-		sleep(ctx, beginEvery)
+		sleep(ctx, readyCheckInterval)
 	}
 	for ctx.Err() == nil {
-		sleep(ctx, seedsEvery)
-		n.meetSeeds(ctx)
+		sleep(ctx, seedInterval)
+		n.contactSeeds(ctx)
 	}
-	n.meeting.Wait()
+	n.seedContacts.Wait()
 }
 
-// isSettled reports whether the view counts as whole.
+// isSettled reports whether the view counts as complete.
 func (n *Node) isSettled() bool {
 	select {
 	case <-n.settled:
@@ -77,14 +75,14 @@
 	}
 }
 
-// settle waits until the hosts that may own pools are known, as far as can be told.
-// The others may come later: a fleet of 45 with 6 large ones knew those long before
-// all, and streams waited for 0.2 s in vain.
+// settle waits until the hosts that may own pools are known, or for at most settleTimeout.
+// Other hosts may join later: a fleet of 45 with 6 large hosts knew those long before the
+// rest, and waiting for all delayed streams by 0.2 s for nothing.
 func (n *Node) settle(ctx context.Context) {
 	defer close(n.settled)
 	var eligible []owner.Peer
 	since := time.Now()
-	for ctx.Err() == nil && time.Since(n.start) < settledMost {
+	for ctx.Err() == nil && time.Since(n.start) < settleTimeout {
 		alone := len(n.settings.Seeds) == 0 || len(n.settings.Seeds) == 1 && n.settings.Seeds[0] == n.settings.Peer
 		if now := n.live().Eligible(); !slices.Equal(now, eligible) {
 			eligible, since = now, time.Now()
@@ -93,13 +91,13 @@
 		if alone || known {
 			break
 		}
-		sleep(ctx, settledEvery)
+		sleep(ctx, settleInterval)
 	}
 	n.log.WithFields(logrus.Fields{"hosts": n.serving(), "after_ms": time.Since(n.start).Milliseconds()}).Info("owners of pools are known")
 }
 
-// read reports whether all spaces have been read from the publisher once.
-func (n *Node) read() bool {
+// hasRead reports whether all spaces have been read from the publisher once.
+func (n *Node) hasRead() bool {
 	for _, w := range n.watchers {
 		select {
 		case <-w.First():
@@ -110,27 +108,27 @@
 	return true
 }
 
-// meet takes over what some peers have, where any are known.
-func (n *Node) meet(ctx context.Context) bool {
-	met := n.gossip.Synchronise(ctx, consulted) > 0
+// syncWithPeers synchronises with some peers and reports whether any answered.
+func (n *Node) syncWithPeers(ctx context.Context) bool {
+	synced := n.gossip.Synchronise(ctx, syncPeers) > 0
 	n.refresh()
-	return met
+	return synced
 }
 
-// meetSeeds begins to contact the seeds that the view does not hold for live. It
-// waits for none: a connection to a host that is not up yet hangs, and a later try
-// finds it at once where it has come up since. Hosts that waited for three seeds,
-// which started last, knew nobody for 0.5 s after their start, 0.2 s after theirs.
-func (n *Node) meetSeeds(ctx context.Context) {
+// contactSeeds starts to contact the seeds that are not live in the view. It does not wait for
+// them: a connection to a host that is not up yet hangs, while a later attempt reaches it as
+// soon as it is up. Hosts that waited for three seeds, which started last, knew no other host
+// for 0.5 s after their own start, 0.2 s after that of the seeds.
+func (n *Node) contactSeeds(ctx context.Context) {
 	for _, seed := range n.settings.Seeds {
-		if seed == n.settings.Peer || n.knows(seed) {
+		if seed == n.settings.Peer || n.isLivePeer(seed) {
 			continue
 		}
-		n.meeting.Go(func() { n.gossip.Meet(ctx, seed) })
+		n.seedContacts.Go(func() { n.gossip.Meet(ctx, seed) })
 	}
 }
 
-func (n *Node) knows(control netip.AddrPort) bool {
+func (n *Node) isLivePeer(control netip.AddrPort) bool {
 	for _, m := range n.view.Members() {
 		if m.Peer == control && m.State == fleet.StateLive {
 			return true
@@ -148,18 +146,18 @@
 	}
 }
 
-// Ready reports whether callers should be sent here.
+// Ready reports whether callers should be sent to this node.
 func (n *Node) Ready() bool {
 	return n.ready.Load() && !n.leaving.Load()
 }
 
-// Leaving reports whether a planned stop has begun.
+// Leaving reports whether a graceful stop has begun.
 func (n *Node) Leaving() bool {
 	return n.leaving.Load()
 }
 
-// Leave begins a planned stop: the peers are told, callers are sent elsewhere
-// from now on, and what has not ended at end is answered then.
+// Leave begins a graceful stop: it notifies peers, callers are sent to other nodes from now on,
+// and requests still running at end are answered then.
 func (n *Node) Leave(ctx context.Context, end time.Time) {
 	if !n.leaving.CompareAndSwap(false, true) {
 		return
@@ -167,17 +165,17 @@
 	n.log.Info("leaving")
 	n.core.Leave(end)
 	n.view.Leave()
-	n.gossip.Announce(ctx, announceTo)
+	n.gossip.Announce(ctx, announceFanout)
 }
 
-// Entries returns the addresses that callers of a region should use for a host name:
-// all, or where routes of that name have homes those of hosts there and in the
-// callers' region. Where all hosts leave, these are the ones that left last: they serve
-// longest yet. A host that leaves never names itself.
+// Entries returns the addresses that callers of a region should use for a host name: all, or,
+// if the routes of that name have homes, those of hosts in these or in the callers' region. If
+// all hosts are leaving, it returns those that began to leave last, which serve longest. A
+// host that is leaving never returns its own address.
 func (n *Node) Entries(host, region string) []netip.AddrPort {
-	all := n.hosts.now().entries
+	all := n.hostCache.current().entries
 	if n.Ready() {
-		all = append(slices.Clip(all), entry{address: n.settings.Callers, region: n.settings.Regions[n.settings.Zone]})
+		all = append(slices.Clip(all), callerEntry{address: n.settings.Callers, region: n.settings.Regions[n.settings.Zone]})
 	}
 	var entries []netip.AddrPort
 	if catalog := n.core.Catalog(); catalog != nil && catalog.Bound(host) {
@@ -189,13 +187,13 @@
 	if len(entries) == 0 {
 		entries = n.lastEntries()
 	}
-	// Answers are bounded, so that each caller of a large fleet gets others.
+	// Answers are limited, so that callers of a large fleet are spread over its hosts.
 	rand.Shuffle(len(entries), func(i, j int) { entries[i], entries[j] = entries[j], entries[i] })
-	return entries[:min(len(entries), entriesMost)]
+	return entries[:min(len(entries), maxEntries)]
 }
 
-// addressesIn returns the addresses of the hosts in some regions.
-func addressesIn(entries []entry, regions relay.Homes) []netip.AddrPort {
+// addressesIn returns the addresses of the hosts in any of the regions.
+func addressesIn(entries []callerEntry, regions relay.Homes) []netip.AddrPort {
 	var addresses []netip.AddrPort
 	for _, e := range entries {
 		if regions.Allow(e.region) {
@@ -205,7 +203,7 @@
 	return addresses
 }
 
-// lastEntries returns the later half of the hosts that leave.
+// lastEntries returns the later half of the hosts that are leaving.
 func (n *Node) lastEntries() []netip.AddrPort {
 	leaving := n.view.LastToLeave()
 	var entries []netip.AddrPort
@@ -215,14 +213,14 @@
 	return entries
 }
 
-// InFlight returns how many requests of callers, and calls of peers for the
-// pools that this host owns, are being served.
+// InFlight returns how many requests of callers, and calls of peers to the pools that this
+// host owns, are being served.
 func (n *Node) InFlight() int64 {
 	return n.inFlight.Load()
 }
 
-// counted counts the calls of peers that a handler serves.
-func (n *Node) counted(h http.Handler) http.Handler {
+// countInFlight counts the calls of peers that a handler serves.
+func (n *Node) countInFlight(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		n.inFlight.Add(1)
 		defer n.inFlight.Add(-1)
@@ -235,7 +233,7 @@
 	n.inFlight.Add(1)
 	defer n.inFlight.Add(-1)
 	if n.paused() {
-		n.confirm.now(ctx)
+		n.confirmer.confirm(ctx)
 	}
 	return n.core.Serve(ctx, r, sink)
 }
--- a/internal/gateway/refresh.go
+++ b/internal/gateway/refresh.go
@@ -15,31 +15,31 @@
 	"github.com/wingvale/wingvale/internal/stageplan"
 )
 
-// change is one backend server that was added, changed or removed.
+// change is the addition, change or removal of one backend server.
 type change = listed.Change[relay.Server]
 
-// refresh brings the core, the stage pools and the engines in line with what is published.
-// What it does grows with what changed, but where a configuration changes what is said of
-// the services, or an availability zone is evacuated.
+// refresh applies the published values to the core, the stage pools and the engines. Its cost
+// grows with the number of changes, except if the configuration changes the services, or an
+// availability zone is evacuated.
 func (n *Node) refresh() {
-	// Watchers, peers and the upkeep all call this; what one has read must not
-	// be set after what a later one has.
+	// Watchers, peers and maintain call refresh concurrently; values read by an earlier call
+	// must not overwrite those of a later one.
 	n.refreshing.Lock()
 	defer n.refreshing.Unlock()
 	if directive, ok := n.directives.Get(n.options.ConfigurationKey); ok {
-		n.bringIntoForce(directive.Catalog)
+		n.applyCatalog(directive.Catalog)
 	}
-	kinds := kindsOf(n.core.Catalog())
-	reshaped := !reflect.DeepEqual(kinds, n.kinds)
-	n.kinds = kinds
-	if n.evacuation.mark(n.directives.Values(), n.log) || reshaped {
-		n.members.touchAll()
+	serviceSpecs := serviceSpecsOf(n.core.Catalog())
+	reshaped := !reflect.DeepEqual(serviceSpecs, n.serviceSpecs)
+	n.serviceSpecs = serviceSpecs
+	if n.evacuation.setZones(n.directives.Values(), n.log) || reshaped {
+		n.serverTable.markAllDirty()
 	}
-	touched, gone := n.members.take(time.Now(), n.changedServers(), n.log)
-	changes := n.changesOf(touched, gone)
+	dirty, removed := n.serverTable.update(time.Now(), n.changedServers(), n.log)
+	changes := n.changesOf(dirty, removed)
 	n.core.ChangeServers(changes)
 	if reshaped {
-		n.stages.Configure(kinds.pools, n.stageServers())
+		n.stages.Configure(serviceSpecs.pools, n.stageServers())
 		n.engines.Configure(n.engineChanges(n.allServers()))
 		return
 	}
@@ -47,7 +47,7 @@
 	n.engines.Change(n.engineChanges(changes))
 }
 
-func (n *Node) bringIntoForce(catalog *relay.Catalog) {
+func (n *Node) applyCatalog(catalog *relay.Catalog) {
 	if old := n.core.Catalog(); old == nil || old.Version < catalog.Version {
 		n.log.WithField("version", catalog.Version).
 			WithField("revision", n.directives.Revision(n.options.ConfigurationKey)).
@@ -65,7 +65,7 @@
 	return size
 }
 
-// changedServers returns what is published of the servers whose entries changed.
+// changedServers returns the published values of the servers whose entries changed.
 func (n *Node) changedServers() []publishedServer {
 	current := n.listed.TakeChanged()
 	changed := make([]publishedServer, 0, len(current))
@@ -75,17 +75,17 @@
 	return changed
 }
 
-// changesOf returns how the servers to use differ from what was handed on of them.
-func (n *Node) changesOf(touched, gone []*member) []change {
+// changesOf returns the differences between the servers and what was last applied of them.
+func (n *Node) changesOf(dirty, removed []*serverRecord) []change {
 	var changes []change
-	for _, k := range gone {
-		if k.used != nil {
-			changes = append(changes, change{Service: k.used.Service, Old: k.used})
+	for _, k := range removed {
+		if k.applied != nil {
+			changes = append(changes, change{Service: k.applied.Service, Old: k.applied})
 		}
 	}
-	for _, k := range touched {
-		now := n.use(k)
-		old := k.used
+	for _, k := range dirty {
+		now := n.effectiveServer(k)
+		old := k.applied
 		switch {
 		case old == nil:
 			changes = append(changes, change{Service: now.Service, New: &now})
@@ -96,47 +96,47 @@
 		default:
 			changes = append(changes, change{Service: now.Service, Old: old, New: &now})
 		}
-		k.used = &now
+		k.applied = &now
 	}
 	return changes
 }
 
-// use returns a published server with what else is known of it: one that is known to leave
-// does, whatever its entry says now, which may be older than an answer, or be written again
-// by who knows less.
-func (n *Node) use(k *member) relay.Server {
-	s := *k.listed
+// effectiveServer returns a published server with what else is known of it. A server known to
+// be leaving stays so whatever its entry says, which may be older than an answer of the
+// server, or rewritten by a writer that knows less.
+func (n *Node) effectiveServer(k *serverRecord) relay.Server {
+	s := *k.published
 	s.Region = n.settings.Regions[s.Zone]
-	s.Evacuated = n.evacuation.named[s.Zone]
+	s.Evacuated = n.evacuation.zones[s.Zone]
 	if s.Leaving {
 		n.notices.Left(notice.Server{Instance: s.Instance, Address: s.Address}, notice.SourceList)
 	} else {
 		s.Leaving = n.notices.Leaving(s.Instance)
 	}
-	if n.kinds.coldRates[s.Service] > 0 {
+	if n.serviceSpecs.coldRates[s.Service] > 0 {
 		s.ColdUntil = k.coldUntil
 	}
 	return s
 }
 
-// allServers returns all servers in use as if each had been added.
+// allServers returns all servers in use as additions.
 func (n *Node) allServers() []change {
 	var changes []change
-	for _, k := range n.members.all() {
-		changes = append(changes, change{Service: k.used.Service, New: k.used})
+	for _, k := range n.serverTable.appliedServers() {
+		changes = append(changes, change{Service: k.applied.Service, New: k.applied})
 	}
 	return changes
 }
 
-// kinds is what a configuration says of the services that matters for their servers.
-type kinds struct {
+// serviceSpecs are the parts of a configuration's services that matter for their servers.
+type serviceSpecs struct {
 	pools     map[string]stageplan.Spec
 	engines   map[string]relay.Engine
 	coldRates map[string]float64
 }
 
-func kindsOf(catalog *relay.Catalog) kinds {
-	k := kinds{
+func serviceSpecsOf(catalog *relay.Catalog) serviceSpecs {
+	k := serviceSpecs{
 		pools:     make(map[string]stageplan.Spec),
 		engines:   make(map[string]relay.Engine),
 		coldRates: make(map[string]float64),
@@ -166,7 +166,7 @@
 	return k
 }
 
-// stageServers returns the servers of all stage pools.
+// stageServers returns the servers of all stage pools by service.
 func (n *Node) stageServers() map[string][]stageplan.Server {
 	byService := make(map[string][]stageplan.Server)
 	for _, c := range n.stageChanges(n.allServers()) {
@@ -175,11 +175,11 @@
 	return byService
 }
 
-// stageChanges returns those changes that concern stage pools.
+// stageChanges returns the changes that concern stage pools.
 func (n *Node) stageChanges(changes []change) []listed.Change[stageplan.Server] {
 	var stages []listed.Change[stageplan.Server]
 	for _, c := range changes {
-		if _, ok := n.kinds.pools[c.Service]; ok {
+		if _, ok := n.serviceSpecs.pools[c.Service]; ok {
 			stages = append(stages, listed.Change[stageplan.Server]{Service: c.Service, Old: stageServer(c.Old), New: stageServer(c.New)})
 		}
 	}
@@ -195,32 +195,32 @@
 	}
 }
 
-// engineChanges returns those changes that concern engines.
+// engineChanges returns the changes that concern engines.
 func (n *Node) engineChanges(changes []change) []listed.Change[placing.Engine] {
 	var engines []listed.Change[placing.Engine]
 	for _, c := range changes {
-		if _, ok := n.kinds.engines[c.Service]; ok {
-			engines = append(engines, listed.Change[placing.Engine]{Service: c.Service, Old: n.engine(c.Old), New: n.engine(c.New)})
+		if _, ok := n.serviceSpecs.engines[c.Service]; ok {
+			engines = append(engines, listed.Change[placing.Engine]{Service: c.Service, Old: n.engineOf(c.Old), New: n.engineOf(c.New)})
 		}
 	}
 	return engines
 }
 
-func (n *Node) engine(s *relay.Server) *placing.Engine {
+func (n *Node) engineOf(s *relay.Server) *placing.Engine {
 	if s == nil {
 		return nil
 	}
-	kind := n.kinds.engines[s.Service]
+	kind := n.serviceSpecs.engines[s.Service]
 	return &placing.Engine{
 		Instance: s.Instance, Address: s.Address, Zone: s.Zone, Region: s.Region, Leaving: s.Closed(),
 		TokenBytes: kind.TokenBytes, Link: kind.Link,
-		ColdUntil: s.ColdUntil, ColdMost: n.coldMost(n.kinds.coldRates[s.Service]),
+		ColdUntil: s.ColdUntil, ColdMost: n.coldLimit(n.serviceSpecs.coldRates[s.Service]),
 	}
 }
 
-// coldMost is how many requests of all hosts may reach a cold server in any second
-// that bears so many; 0 is not bounded.
-func (n *Node) coldMost(rate float64) float64 {
+// coldLimit returns how many requests of all hosts together may reach a cold server in any
+// second, given the rate that it can handle; 0 means no limit.
+func (n *Node) coldLimit(rate float64) float64 {
 	if rate <= 0 {
 		return 0
 	}
--- a/internal/gateway/refresh_test.go
+++ b/internal/gateway/refresh_test.go
@@ -27,7 +27,7 @@
 
 const configurationKey = "configuration"
 
-// services has the shares of engines and stage servers in a deployment.
+// services lists services in the proportions of engines and stage servers in a deployment.
 var services = []string{"engine", "engine", "engine", "engine", "read", "board", "keys"}
 
 func decodeServer(_ string, data []byte) (relay.Server, error) {
@@ -45,11 +45,11 @@
 	return gateway.Directive{Catalog: catalog}, nil
 }
 
-// newNode returns a node that isn't run, before so many backend servers.
+// newNode returns a node with the given number of backend servers; it is not run.
 func newNode(servers int) *gateway.Node {
 	n := gateway.New(gateway.Options{
 		Settings:         settings.Gateway{Callers: netip.MustParseAddrPort("10.1.0.1:1"), Peer: netip.MustParseAddrPort("10.1.0.1:2"), Zone: "a"},
-		Log:              quiet(),
+		Log:              discardLog(),
 		Scope:            tally.NoopScope,
 		ConfigurationKey: configurationKey,
 		DecodeDirective:  decodeDirective,
@@ -77,9 +77,9 @@
 	return published.Entry{Key: fmt.Sprintf("servers/server-%d", i), Revision: revision, Data: data}
 }
 
-// When one server changed, every host copied, merged and sorted all of them, and
-// configured all pools and shards anew.
-func TestAChangeOfOneServerDoesNotCostWorkForAll(t *testing.T) {
+// A change of one server made every host copy, merge and sort all servers, and reconfigure all
+// pools and shards.
+func TestCostOfOneChangeIsIndependentOfServerCount(t *testing.T) {
 	bytesOf := func(servers int) uint64 {
 		n := newNode(servers)
 		revision := uint64(1)
@@ -102,7 +102,7 @@
 	assert.Assert(t, many < 2*few+4<<10, "%d bytes with 6000 servers, %d with 300", many, few)
 }
 
-func TestChangesReachTheCore(t *testing.T) {
+func TestServerChangesReachCore(t *testing.T) {
 	n := newNode(300)
 	assert.Equal(t, len(n.Core().Servers()), 300)
 	leaving := func() int {
@@ -121,9 +121,9 @@
 	assert.Equal(t, len(n.Core().Servers()), 300)
 }
 
-// An entry may come to name the same run at another address, go and come back between two
-// looks, or name another service.
-func TestAServerIsHeldOnceWhereverItGoes(t *testing.T) {
+// An entry may move the same instance to another address, be removed and re-added between two
+// refreshes, or move to another service.
+func TestMovedServerIsListedOnce(t *testing.T) {
 	n := newNode(10)
 	moved := serverEntry(3, 2, false)
 	moved.Data = bytes.Replace(moved.Data, []byte("10.2.0.3:80"), []byte("10.9.9.9:80"), 1)
@@ -145,7 +145,7 @@
 	assert.Equal(t, len(n.Core().Servers()), 10)
 }
 
-func BenchmarkAChangeOfOneServer(b *testing.B) {
+func BenchmarkOneServerChange(b *testing.B) {
 	for _, servers := range []int{300, 6000, 12000} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
 			n := newNode(servers)
@@ -157,7 +157,7 @@
 	}
 }
 
-// BenchmarkState tells what a host holds of each backend server.
+// BenchmarkState reports the memory that a host uses for each backend server.
 func BenchmarkState(b *testing.B) {
 	for _, servers := range []int{300, 6000, 12000} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
--- a/internal/gateway/traffic.go
+++ b/internal/gateway/traffic.go
@@ -12,12 +12,12 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// traffic counts the bytes of bodies that go to and come from other nodes, by
-// kind of message. Headers are not counted.
+// traffic counts the bytes of message bodies sent to and received from other nodes, by kind of
+// message. Headers are not counted.
 type traffic struct{ scope tally.Scope }
 
-// kindOf returns the kind of a message, one of a few, by its path.
-func kindOf(urlPath string) string {
+// messageKind derives the kind of a message, one of a small set, from its path.
+func messageKind(urlPath string) string {
 	switch {
 	case strings.Contains(urlPath, "stage"):
 		return "stages"
@@ -39,65 +39,65 @@
 }
 
 func (t traffic) counters(urlPath string) (sent, received tally.Counter) {
-	s := t.scope.Tagged(map[string]string{"message": kindOf(urlPath)})
+	s := t.scope.Tagged(map[string]string{"message": messageKind(urlPath)})
 	return s.Counter("bytes_sent"), s.Counter("bytes_received")
 }
 
-// client returns a transport that counts what it carries.
+// client returns a transport that counts the bodies of requests and responses.
 func (t traffic) client(next http.RoundTripper) http.RoundTripper {
-	return carrier{traffic: t, next: next}
+	return countingTransport{traffic: t, next: next}
 }
 
-// handler returns a handler that counts what it takes and answers.
+// handler returns a handler that counts the bodies of requests and responses.
 func (t traffic) handler(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		sent, received := t.counters(r.URL.Path)
-		r.Body = countedBody{ReadCloser: r.Body, counter: received}
-		next.ServeHTTP(countedWriter{ResponseWriter: w, counter: sent}, r)
+		r.Body = countingBody{ReadCloser: r.Body, counter: received}
+		next.ServeHTTP(countingWriter{ResponseWriter: w, counter: sent}, r)
 	})
 }
 
-type carrier struct {
+type countingTransport struct {
 	traffic traffic
 	next    http.RoundTripper
 }
 
-// RoundTrip counts a request when it is sent and its answer as it is read.
-func (c carrier) RoundTrip(r *http.Request) (*http.Response, error) {
+// RoundTrip counts a request when it is sent and its response as it is read.
+func (c countingTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	sent, received := c.traffic.counters(r.URL.Path)
 	sent.Inc(max(r.ContentLength, 0))
 	response, err := c.next.RoundTrip(r)
 	if err != nil {
 		return nil, err
 	}
-	response.Body = countedBody{ReadCloser: response.Body, counter: received}
+	response.Body = countingBody{ReadCloser: response.Body, counter: received}
 	return response, nil
 }
 
-// CloseIdleConnections makes the client's method of the same name work.
-func (c carrier) CloseIdleConnections() {
+// CloseIdleConnections makes http.Client.CloseIdleConnections work.
+func (c countingTransport) CloseIdleConnections() {
 	(&http.Client{Transport: c.next}).CloseIdleConnections()
 }
 
-type countedBody struct {
+type countingBody struct {
 	io.ReadCloser
 	counter tally.Counter
 }
 
-// Read counts what is read.
-func (b countedBody) Read(p []byte) (int, error) {
+// Read counts the bytes read.
+func (b countingBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	b.counter.Inc(int64(n))
 	return n, err
 }
 
-type countedWriter struct {
+type countingWriter struct {
 	http.ResponseWriter
 	counter tally.Counter
 }
 
-// Write counts what is written.
-func (w countedWriter) Write(p []byte) (int, error) {
+// Write counts the bytes written.
+func (w countingWriter) Write(p []byte) (int, error) {
 	n, err := w.ResponseWriter.Write(p)
 	w.counter.Inc(int64(n))
 	return n, err
--- a/internal/gateway/traffic_test.go
+++ b/internal/gateway/traffic_test.go
@@ -16,10 +16,10 @@
 	"github.com/wingvale/wingvale/internal/gateway"
 )
 
-type local struct{ handler http.Handler }
+type handlerTransport struct{ handler http.Handler }
 
-// RoundTrip hands the request to the handler.
-func (l local) RoundTrip(r *http.Request) (*http.Response, error) {
+// RoundTrip passes the request to the handler.
+func (l handlerTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	w := httptest.NewRecorder()
 	l.handler.ServeHTTP(w, r)
 	return w.Result(), nil
@@ -31,7 +31,7 @@
 		_, _ = io.Copy(io.Discard, r.Body)
 		_, _ = io.WriteString(w, "abc")
 	}))
-	c := &http.Client{Transport: gateway.CountClient(near, local{handler: h})}
+	c := &http.Client{Transport: gateway.CountClient(near, handlerTransport{handler: h})}
 	response, err := c.Post("http://10.0.0.1/twirp/x.Peer/Push", "", strings.NewReader("12345"))
 	assert.NilError(t, err)
 	_, _ = io.Copy(io.Discard, response.Body)
