--- a/internal/node/callers.go
+++ b/internal/node/callers.go
@@ -20,27 +20,27 @@
 	"github.com/wingvale/wingvale/verdict"
 )
 
-// Headers of the callers' interface.
+// Headers of the interface for callers.
 const (
-	// HeaderID bears the request id.
+	// HeaderID is the request id.
 	HeaderID = "Wingvale-Request-Id"
-	// HeaderRevision bears the highest configuration revision.
+	// HeaderRevision is the highest revision of the configuration that the sender has seen.
 	HeaderRevision = "Wingvale-Revision"
-	// HeaderForwarded marks a request that one node passes to another.
+	// HeaderForwarded marks a request that one node forwards to another.
 	HeaderForwarded = "Wingvale-Forwarded"
 )
 
 const (
 	maxIDs     = 64
 	defaultIDs = 8
-	// writeTimeout is how long one reader may hold up its own stream.
+	// writeTimeout is how long a slow reader may block the writes of its own stream.
 	writeTimeout = 10 * time.Second
 	bodyTimeout  = 10 * time.Second
 )
 
 func (n *Node) callerHandler() http.Handler {
 	r := chi.NewRouter()
-	r.Use(n.bearRevision)
+	r.Use(n.withRevision)
 	r.Get("/v1/addresses", n.getAddresses)
 	r.Get("/v1/ready", n.getReady)
 	r.Post("/v1/requests", n.postRequest)
@@ -56,9 +56,9 @@
 	return r
 }
 
-// bearRevision puts the configuration's revision on every answer, and brings
-// the node up to a higher one that another node or caller has seen.
-func (n *Node) bearRevision(next http.Handler) http.Handler {
+// withRevision sets the configuration's revision on every response, and catches up with a
+// higher one that another node or a caller has seen.
+func (n *Node) withRevision(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		n.catchUp(r)
 		w.Header().Set(HeaderRevision, strconv.FormatUint(n.configuration.Summary().Revision, 10))
@@ -66,36 +66,36 @@
 	})
 }
 
-const catchUpFor = 500 * time.Millisecond
+const catchUpTimeout = 500 * time.Millisecond
 
-// catchUp compares with peers where the sender has seen a higher revision, so
-// that a change seen once is not unseen at the next node. A revision that no
-// peer has either costs that one request the wait.
+// catchUp synchronises with a peer if the sender has seen a higher revision, so that a change
+// seen once does not disappear at the next node. A revision that no peer has either costs only
+// this request the wait.
 func (n *Node) catchUp(r *http.Request) {
 	seen, err := strconv.ParseUint(r.Header.Get(HeaderRevision), 10, 64)
-	if err != nil || seen <= n.configuration.Summary().Revision || !n.takeCatchUp() {
+	if err != nil || seen <= n.configuration.Summary().Revision || !n.allowCatchUp() {
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), catchUpFor)
+	ctx, cancel := context.WithTimeout(r.Context(), catchUpTimeout)
 	defer cancel()
 	n.scope.Counter("catch_ups").Inc(1)
 	n.gossip.Synchronise(ctx, 1)
 }
 
-// takeCatchUp lets one catch-up through every catchUpFor: a caller that makes
-// revisions up must not cost more than that.
-func (n *Node) takeCatchUp() bool {
+// allowCatchUp allows one catch-up every catchUpTimeout: a caller that makes up revisions must
+// not cost more than that.
+func (n *Node) allowCatchUp() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if time.Since(n.caughtUp) < catchUpFor {
+	if time.Since(n.lastCatchUp) < catchUpTimeout {
 		return false
 	}
-	n.caughtUp = time.Now()
+	n.lastCatchUp = time.Now()
 	return true
 }
 
 func (n *Node) getReady(w http.ResponseWriter, _ *http.Request) {
-	if err := n.mayAdmit(); err != nil {
+	if err := n.checkAdmission(); err != nil {
 		n.refuse(w, err)
 		return
 	}
@@ -105,22 +105,22 @@
 func (n *Node) getAddresses(w http.ResponseWriter, r *http.Request) {
 	count := defaultIDs
 	if text := r.URL.Query().Get("ids"); text != "" {
-		given, err := strconv.Atoi(text)
-		if err != nil || given < 0 || given > maxIDs {
+		requestedIDs, err := strconv.Atoi(text)
+		if err != nil || requestedIDs < 0 || requestedIDs > maxIDs {
 			n.refuse(w, verdict.New(verdict.NotRun, verdict.ReasonBadRequest, "node: ids=%.20s, want 0 to %d", text, maxIDs))
 			return
 		}
-		count = given
+		count = requestedIDs
 	}
 	_ = wire.Write(w, http.StatusOK, n.addresses(r.URL.Query().Get("zone"), count))
 }
 
-// mayAdmit says why the node admits nothing now, or nil.
-func (n *Node) mayAdmit() error {
-	if n.refusing.Load() {
+// checkAdmission returns the reason why the node admits no requests now, or nil.
+func (n *Node) checkAdmission() error {
+	if n.refusingNew.Load() {
 		return verdict.New(verdict.NotRun, verdict.ReasonLeaving, "node: this host is leaving")
 	}
-	if !n.ready.ok() {
+	if !n.ready.canAdmit() {
 		return verdict.New(verdict.NotRun, verdict.ReasonNotReady, "node: not ready").After(time.Second)
 	}
 	return nil
@@ -162,9 +162,9 @@
 	return id, nil
 }
 
-// find returns the run that the path names, or passes the call on to the node
-// that issued the id and returns neither run nor error.
-func (n *Node) find(w http.ResponseWriter, r *http.Request) (*table.Run, error) {
+// findOrForward returns the run that the path names, or forwards the call to the node that
+// issued the id and returns neither a run nor an error.
+func (n *Node) findOrForward(w http.ResponseWriter, r *http.Request) (*table.Run, error) {
 	id, err := pathID(r)
 	if err != nil {
 		return nil, err
@@ -176,10 +176,9 @@
 	return nil, n.forward(w, r, id, nil)
 }
 
-// findOrRefuse returns the run that the path names, or nil where the caller has
-// been answered.
+// findOrRefuse returns the run that the path names, or nil if the caller has been answered.
 func (n *Node) findOrRefuse(w http.ResponseWriter, r *http.Request) *table.Run {
-	run, err := n.find(w, r)
+	run, err := n.findOrForward(w, r)
 	if err != nil {
 		n.refuse(w, err)
 		return nil
@@ -229,8 +228,8 @@
 	}
 }
 
-// stream sends the run's events from the cursor on, until the answer has ended
-// or the caller is gone. A caller that reads slowly holds up nobody else.
+// stream sends the run's events from the cursor on, until the answer has ended or the caller
+// has disconnected. A slow reader blocks no other caller.
 func (n *Node) stream(w http.ResponseWriter, r *http.Request, run *table.Run, cursor table.Cursor) {
 	detach := run.Attach()
 	defer detach()
@@ -238,8 +237,8 @@
 	events := wire.NewEvents(w)
 	started := false
 	for {
-		batch, ended, err := next(r.Context(), run, &cursor)
-		if errors.Is(err, errNothingYet) {
+		batch, ended, err := nextEvents(r.Context(), run, &cursor)
+		if errors.Is(err, errNoEventYet) {
 			if keepAlive(control, events) != nil {
 				return
 			}
@@ -252,7 +251,7 @@
 			}
 			return
 		}
-		if !started && refusedAtOnce(batch) {
+		if !started && isRefusal(batch) {
 			n.refuse(w, batch[0].Failed.Err())
 			return
 		}
@@ -269,19 +268,18 @@
 	}
 }
 
-// aliveEvery is how often a stream on which nothing else comes shows that its
-// node still runs.
-const aliveEvery = time.Second
+// keepAliveInterval is how often an otherwise silent stream shows that its node still runs.
+const keepAliveInterval = time.Second
 
-var errNothingYet = errors.New("node: nothing to tell yet")
+var errNoEventYet = errors.New("node: no event yet")
 
-// next is run.Next for no longer than aliveEvery.
-func next(ctx context.Context, run *table.Run, cursor *table.Cursor) ([]request.Event, bool, error) {
-	shortly, cancel := context.WithTimeout(ctx, aliveEvery)
+// nextEvents calls run.Next with a timeout of keepAliveInterval.
+func nextEvents(ctx context.Context, run *table.Run, cursor *table.Cursor) ([]request.Event, bool, error) {
+	waitCtx, cancel := context.WithTimeout(ctx, keepAliveInterval)
 	defer cancel()
-	events, ended, err := run.Next(shortly, cursor)
-	if err != nil && ctx.Err() == nil && shortly.Err() != nil {
-		return nil, false, errNothingYet
+	events, ended, err := run.Next(waitCtx, cursor)
+	if err != nil && ctx.Err() == nil && waitCtx.Err() != nil {
+		return nil, false, errNoEventYet
 	}
 	return events, ended, err
 }
@@ -294,13 +292,12 @@
 	return events.Flush()
 }
 
-// refusedAtOnce reports whether the whole answer is a refusal, which is told
-// by the status code.
-func refusedAtOnce(events []request.Event) bool {
+// isRefusal reports whether the whole answer is a refusal, which is sent as the status code.
+func isRefusal(events []request.Event) bool {
 	return len(events) == 1 && events[0].Type == request.EventFailed
 }
 
-var statusOf = map[verdict.Reason]int{
+var statusByReason = map[verdict.Reason]int{
 	verdict.ReasonBadRequest:        http.StatusBadRequest,
 	verdict.ReasonBadID:             http.StatusBadRequest,
 	verdict.ReasonTooLarge:          http.StatusRequestEntityTooLarge,
@@ -319,11 +316,11 @@
 	verdict.ReasonNoServer:          http.StatusServiceUnavailable,
 }
 
-// refuse answers with err at once. Where another host or a fresh id helps, the
-// answer bears them.
+// refuse answers the request with err. If another host or a fresh id helps, the answer
+// includes them.
 func (n *Node) refuse(w http.ResponseWriter, err error) {
 	failed := request.FailedOf(err)
-	status, ok := statusOf[failed.Reason]
+	status, ok := statusByReason[failed.Reason]
 	if !ok {
 		status = http.StatusInternalServerError
 	}
@@ -339,7 +336,7 @@
 	_ = wire.Write(w, status, failed)
 }
 
-// addresses answers which addresses to use.
+// addresses returns the addresses to use and up to ids fresh request ids.
 func (n *Node) addresses(zone string, ids int) request.Addresses {
 	a := request.Addresses{
 		Addresses: n.entries(zone),
--- a/internal/node/entries.go
+++ b/internal/node/entries.go
@@ -12,26 +12,26 @@
 )
 
 const (
-	// maxEntries bounds the addresses in one answer.
+	// maxEntries limits the addresses in one answer.
 	maxEntries = 4
-	// hot is the load, in thousandths, above which a node is put last.
-	hot = 850
-	// farLoad is the load that another availability zone counts as.
-	farLoad = 250
-	full    = 1000
+	// hotLoad is the load, in thousandths, from which a node is used only as a last resort.
+	hotLoad = 850
+	// otherZoneLoad is the load added to a node of another availability zone.
+	otherZoneLoad = 250
+	fullLoad      = 1000
 )
 
-// entries returns the addresses that a caller in zone should use, the best
-// first. Which of two like nodes comes first is left to chance, weighted by
-// the room that each has, so that callers who hold the answer spread.
+// entries returns the addresses that a caller in zone should use, best first. The order is
+// random, weighted by the spare capacity of each node, so that callers which cache the answer
+// are spread.
 func (n *Node) entries(zone string) []netip.AddrPort {
 	var candidates []fleet.Member
 	for _, m := range n.view.Members() {
-		if m.State == fleet.StateLive && n.listedLive(m.Address) {
+		if m.State == fleet.StateLive && n.isNotLeaving(m.Address) {
 			candidates = append(candidates, m)
 		}
 	}
-	if !n.leaving.Load() && n.ready.ok() {
+	if !n.leaving.Load() && n.ready.canAdmit() {
 		self := n.view.Self()
 		candidates = append(candidates, self)
 	}
@@ -39,54 +39,54 @@
 	defer n.mu.Unlock()
 	var addresses []netip.AddrPort
 	for len(candidates) > 0 && len(addresses) < maxEntries {
-		i := draw(candidates, zone, n.random)
+		i := pickWeighted(candidates, zone, n.random)
 		addresses = append(addresses, candidates[i].Address)
 		candidates = slices.Delete(candidates, i, i+1)
 	}
 	return addresses
 }
 
-// listedLive reports whether the host list does not call the host leaving. A
-// member that the list lacks is taken, since the list lags.
-func (n *Node) listedLive(address netip.AddrPort) bool {
+// isNotLeaving reports whether the host list does not mark the host as leaving. A member
+// missing from the list is used, since the list lags behind.
+func (n *Node) isNotLeaving(address netip.AddrPort) bool {
 	h, ok := n.hosts.Get(address.String())
 	return !ok || !h.Leaving
 }
 
-// draw picks a member at random, by the room it has.
-func draw(members []fleet.Member, zone string, random *rand.Rand) int {
+// pickWeighted picks a random member, weighted by its spare capacity.
+func pickWeighted(members []fleet.Member, zone string, random *rand.Rand) int {
 	total := 0
 	for _, m := range members {
-		total += room(m, zone)
+		total += weight(m, zone)
 	}
-	at := random.IntN(total)
+	point := random.IntN(total)
 	for i, m := range members {
-		at -= room(m, zone)
-		if at < 0 {
+		point -= weight(m, zone)
+		if point < 0 {
 			return i
 		}
 	}
 	return len(members) - 1
 }
 
-// room weighs a member: what is free of it, less for another zone, and next to
-// nothing for a hot one.
-func room(m fleet.Member, zone string) int {
+// weight returns the weight of a member: its spare capacity, reduced for another zone, and
+// minimal for a hot node.
+func weight(m fleet.Member, zone string) int {
 	load := max(m.Load, 0)
 	if zone != "" && zone != m.Zone {
-		load += farLoad
+		load += otherZoneLoad
 	}
-	if load >= hot {
+	if load >= hotLoad {
 		return 1
 	}
-	free := full - load
-	return 1 + free*free/full
+	spare := fullLoad - load
+	return 1 + spare*spare/fullLoad
 }
 
-// reportLoad tells the others how busy this node is: by the requests that run,
-// and by the fullest pool.
+// reportLoad publishes the load of this node to peers: its running requests as a share of
+// MaxRunning.
 func (n *Node) reportLoad() {
-	load := int(n.running.Load()) * full / n.settings.MaxRunning
-	n.view.SetLoad(min(load, full))
+	load := int(n.running.Load()) * fullLoad / n.settings.MaxRunning
+	n.view.SetLoad(min(load, fullLoad))
 	n.scope.Gauge("running").Update(float64(n.running.Load()))
 }
--- a/internal/node/execute.go
+++ b/internal/node/execute.go
@@ -23,29 +23,29 @@
 )
 
 const (
-	// maxSends bounds the sends of one stage.
+	// maxSends limits how often one stage is sent.
 	maxSends = 4
-	// sendsPerAttempt keeps the send numbers of two attempts apart.
+	// sendsPerAttempt keeps the send numbers of different attempts apart.
 	sendsPerAttempt = 1000
 )
 
-// job is one request on its way through its stages.
+// job is the execution of one request.
 type job struct {
 	*plan
 	run *table.Run
-	// previous is the result of the last stage that finished.
+	// previous is the result of the last finished stage.
 	previous json.RawMessage
-	// finished names that stage.
+	// finished is the name of that stage.
 	finished string
-	// sent says that a byte of some call may have reached a backend server.
-	// It never goes back to false.
+	// sent is set once any byte of a call may have reached a backend server. It is never
+	// reset.
 	sent bool
-	// sends numbers the calls.
+	// sends is the number of the last call.
 	sends  int
 	costs  []request.StageCost
 	digest request.Digest
-	// tookUp says that the checkpoint's stream was tried.
-	tookUp bool
+	// resumeTried is set once the stream of the caller's checkpoint has been tried.
+	resumeTried bool
 }
 
 // start runs an admitted request in the background.
@@ -74,23 +74,22 @@
 	})
 }
 
-// execute is the path of an admitted request: each stage in turn, then the
-// end of the answer.
+// execute runs each stage of an admitted request in order and then ends the answer.
 func (n *Node) execute(ctx context.Context, j *job) {
 	ctx, cancel := context.WithDeadlineCause(ctx, j.deadline, errDeadline)
 	defer cancel()
-	defer j.settle()
+	defer j.release()
 	for i := j.start; i < len(j.steps); i++ {
 		s := &j.steps[i]
 		j.run.Stage(s.Name)
 		last := i == len(j.steps)-1
-		result, err := n.stage(ctx, j, s, last)
+		result, err := n.runStage(ctx, j, s, last)
 		if err != nil {
 			n.fail(ctx, j, s, err)
 			return
 		}
 		if last {
-			// There is nothing to go on with: the answer itself follows.
+			// No checkpoint is needed: the answer itself follows.
 			break
 		}
 		j.previous, j.finished = result, s.Name
@@ -101,11 +100,11 @@
 
 var errDeadline = errors.New("node: the deadline has passed")
 
-// stage runs one stage, on as many servers as its rules and the time allow.
-func (n *Node) stage(ctx context.Context, j *job, s *step, last bool) (json.RawMessage, error) {
+// runStage runs one stage, with as many retries as the rules and the deadline allow.
+func (n *Node) runStage(ctx context.Context, j *job, s *step, last bool) (json.RawMessage, error) {
 	if s.Share > 0 {
 		var cancel context.CancelFunc
-		limit := time.Duration(s.Share * float64(j.deadline.Sub(j.begin)))
+		limit := time.Duration(s.Share * float64(j.deadline.Sub(j.startedAt)))
 		ctx, cancel = context.WithTimeoutCause(ctx, limit, errDeadline)
 		defer cancel()
 	}
@@ -114,38 +113,37 @@
 	n.budget.First()
 	var avoid []netip.AddrPort
 	for {
-		g, err := s.pool.Acquire(ctx, n.task(ctx, j, s, avoid))
+		g, err := s.pool.Acquire(ctx, n.newTask(ctx, j, s, avoid))
 		if err != nil {
-			return nil, j.sentBefore(err)
+			return nil, j.afterSend(err)
 		}
-		s.settle()
-		begin := time.Now()
+		s.release()
+		startedAt := time.Now()
 		cost.Attempts++
 		cost.Server = g.Server
 		cost.Wait += pipeline.Duration(g.Waited)
 		result, err := n.send(ctx, j, s, g, last)
-		cost.Work += pipeline.Duration(time.Since(begin))
+		cost.Work += pipeline.Duration(time.Since(startedAt))
 		if err == nil {
 			return result, nil
 		}
 		if !n.mayRetry(ctx, j, err, cost.Attempts) {
-			return nil, j.sentBefore(err)
+			return nil, j.afterSend(err)
 		}
 		n.scope.Counter("retries").Inc(1)
 		avoid = append(avoid, g.Server)
 	}
 }
 
-// sentBefore makes a NotRun of this stage Unknown for the request if anything
-// of the request was sent before.
-func (j *job) sentBefore(err error) error {
+// afterSend turns NotRun into Unknown if any part of the request was sent before.
+func (j *job) afterSend(err error) error {
 	if j.sent {
 		return verdict.AfterSend(err)
 	}
 	return err
 }
 
-func (n *Node) task(ctx context.Context, j *job, s *step, avoid []netip.AddrPort) dispatch.Task {
+func (n *Node) newTask(ctx context.Context, j *job, s *step, avoid []netip.AddrPort) dispatch.Task {
 	latest := j.deadline
 	if limit, ok := ctx.Deadline(); ok && limit.Before(latest) {
 		latest = limit
@@ -154,7 +152,7 @@
 		Item: queue.Item{
 			Workspace:  j.workspace.Name,
 			Weight:     j.workspace.Weight,
-			Latest:     latest.Add(-s.rest - s.margin),
+			Latest:     latest.Add(-s.remainingWork - s.margin),
 			Cost:       s.expected.Mean,
 			Background: j.background(),
 		},
@@ -164,8 +162,8 @@
 	}
 }
 
-// mayRetry reports whether a failed call may be sent again: where it did not
-// run, or the request is repeatable, and there is time and budget.
+// mayRetry reports whether a failed call may be retried: it did not run, or the request is
+// repeatable, and there is time and retry budget left.
 func (n *Node) mayRetry(ctx context.Context, j *job, err error, sends int) bool {
 	if ctx.Err() != nil || sends >= maxSends {
 		return false
@@ -178,7 +176,7 @@
 		return false
 	}
 	if e.Verdict == verdict.NotRun && e.Reason == verdict.ReasonConnection {
-		// Nothing was sent, so the retry multiplies no load.
+		// Nothing was sent, so the retry adds no load.
 		return true
 	}
 	if !n.budget.Retry() {
@@ -188,11 +186,11 @@
 	return true
 }
 
-// send makes one call and tells the pool how it went.
+// send makes one call and records its outcome.
 func (n *Node) send(ctx context.Context, j *job, s *step, g *dispatch.Grant, last bool) (json.RawMessage, error) {
 	j.sends++
 	call := backend.Call{Server: g.Server, Request: j.run.ID, Stage: s.Name, Attempt: j.sends, Deadline: j.deadline}
-	begin := time.Now()
+	startedAt := time.Now()
 	var result json.RawMessage
 	var report backend.Report
 	var err error
@@ -204,22 +202,22 @@
 	if verdict.Of(err) != verdict.NotRun {
 		j.sent = true
 	}
-	n.learn(ctx, s, g, report, time.Since(begin), err)
+	n.recordOutcome(ctx, s, g, report, time.Since(startedAt), err)
 	return result, err
 }
 
-// learn tells the pool and the estimates how a call went.
-func (n *Node) learn(ctx context.Context, s *step, g *dispatch.Grant, report backend.Report, work time.Duration, err error) {
+// recordOutcome updates the pool and the estimates with the outcome of a call.
+func (n *Node) recordOutcome(ctx context.Context, s *step, g *dispatch.Grant, report backend.Report, work time.Duration, err error) {
 	o := dispatch.Outcome{Work: work, Expected: s.expected.Typical, Low: s.expected.Low, Load: report.Load, Known: report.Known}
 	switch {
 	case err == nil:
-		n.estimates.Add(s.kind, work)
+		n.estimates.Add(s.estimateKey, work)
 	case ctx.Err() != nil:
 		o.Ignored = true
 	case errors.Is(err, context.DeadlineExceeded):
-		// The call took at least that long: without it, the estimate would
-		// never learn that the whole pool has become slow.
-		n.estimates.Add(s.kind, work)
+		// The call took at least that long. If this were not recorded, the estimate would
+		// never show that the whole pool has become slow.
+		n.estimates.Add(s.estimateKey, work)
 		o.Failed = true
 	case verdict.As(err).Reason == verdict.ReasonRefused:
 		o.Refused = true
@@ -229,7 +227,7 @@
 	}
 	g.Done(o)
 	if report.Known {
-		n.pools.noteHeard(g.Server)
+		n.pools.recordReport(g.Server)
 	}
 	if report.Known && report.Load.Leaving {
 		n.NoteLeaving(g.Server, report.Load.Instance)
@@ -239,39 +237,39 @@
 }
 
 const (
-	// slowest is how far beyond its likely time a call to a pool may take
-	// before another server is tried; it needs some samples first.
-	slowest       = 6
-	leastSamples  = 10
-	leastPatience = 200 * time.Millisecond
-	// patienceUntold is for calls of which nothing is known yet.
-	patienceUntold = 10 * time.Second
+	// callTimeoutFactor is the multiple of the typical duration after which a call to a pool
+	// times out and is retried on another server; it needs minSamples samples.
+	callTimeoutFactor = 6
+	minSamples        = 10
+	minCallTimeout    = 200 * time.Millisecond
+	// defaultCallTimeout applies to calls without enough samples.
+	defaultCallTimeout = 10 * time.Second
 )
 
-// patience bounds one call of a repeatable stage, so that a server that hangs
-// costs one try and not the request. An unrepeatable one could not be tried
-// again, so it has all the time there is.
-func patience(j *job, s *step) time.Duration {
+// callTimeout returns the timeout of one call of a repeatable stage, so that a server that
+// hangs costs one attempt and not the request. An unrepeatable call cannot be retried, so it
+// gets all of the remaining time.
+func callTimeout(j *job, s *step) time.Duration {
 	if j.unrepeatable {
-		// A little more, so that the deadline itself is what ends the call.
-		return time.Until(j.deadline) + patienceUntold
+		// The margin ensures that the deadline itself ends the call.
+		return time.Until(j.deadline) + defaultCallTimeout
 	}
-	if s.expected.Samples < leastSamples {
-		return patienceUntold
+	if s.expected.Samples < minSamples {
+		return defaultCallTimeout
 	}
-	likely := slowest * s.expected.Typical
+	likely := callTimeoutFactor * s.expected.Typical
 	if j.background() {
-		return max(likely, patienceUntold)
+		return max(likely, defaultCallTimeout)
 	}
-	return max(likely, leastPatience)
+	return max(likely, minCallTimeout)
 }
 
 func (n *Node) callStage(ctx context.Context, j *job, s *step, call backend.Call, last bool) (json.RawMessage, backend.Report, error) {
-	tryCtx, cancel := context.WithTimeout(ctx, patience(j, s))
+	tryCtx, cancel := context.WithTimeout(ctx, callTimeout(j, s))
 	defer cancel()
 	body := protocol.StageCall{Workspace: j.workspace.Name, Input: j.spec.Input, Previous: j.previous, Unrepeatable: j.unrepeatable}
 	result, report, err := n.backends.Stage(tryCtx, call, body)
-	if err == nil && last && !n.chunk(j, string(result)) {
+	if err == nil && last && !n.appendChunk(j, string(result)) {
 		return nil, report, errAnswerTooLarge()
 	}
 	return result, report, err
@@ -281,13 +279,13 @@
 	return verdict.New(verdict.Unknown, verdict.ReasonTooLarge, "node: the answer has more than %d bytes", request.MaxAnswerBytes)
 }
 
-// chunk adds text to the caller's answer.
-func (n *Node) chunk(j *job, text string) bool {
+// appendChunk appends text to the caller's answer.
+func (n *Node) appendChunk(j *job, text string) bool {
 	j.digest.Add(text)
 	return j.run.Chunk(text)
 }
 
-// checkpoint hands the caller what another node needs to go on.
+// checkpoint sends the caller what another node needs to resume the request.
 func (j *job) checkpoint(stream *request.StreamRef) {
 	if j.unrepeatable || len(j.previous) > request.MaxCheckpointBytes {
 		return
@@ -311,11 +309,10 @@
 	j.run.End(time.Now(), request.Event{Type: request.EventDone, Done: &done})
 	n.table.Ended(j.run)
 	n.scope.Counter("answered").Inc(1)
-	n.scope.Timer("request").Record(time.Since(j.begin))
+	n.scope.Timer("request").Record(time.Since(j.startedAt))
 }
 
-// fail ends the request without an answer, at once and with the truth about
-// what ran.
+// fail ends the request with an error that states whether anything ran.
 func (n *Node) fail(ctx context.Context, j *job, s *step, err error) {
 	if cause := context.Cause(ctx); cause != nil {
 		err = endedBy(cause, j.sent)
@@ -323,7 +320,7 @@
 	own := n.table.Issued(j.run.ID)
 	failed := request.FailedOf(err)
 	if failed.Reason == verdict.ReasonConnection {
-		// The connection to a backend server, not the caller's.
+		// The failed connection is that to a backend server, not the caller's.
 		failed.Reason = verdict.ReasonServerFailed
 	}
 	failed.Settled = own && failed.Verdict == verdict.NotRun
@@ -334,12 +331,12 @@
 		"stage":     s.Name,
 		"verdict":   failed.Verdict.String(),
 		"reason":    failed.Reason,
-	}).Info("a request failed: ", failed.Message)
+	}).Info("request failed: ", failed.Message)
 	n.endRun(j.run, failed)
 	n.scope.Tagged(map[string]string{"verdict": failed.Verdict.String(), "reason": string(failed.Reason)}).Counter("failed").Inc(1)
 	switch {
 	case own && (failed.Verdict == verdict.NotRun || failed.Reason == verdict.ReasonLeaving):
-		// Nothing is kept for readers, and nothing may start under the id.
+		// Nothing is kept for readers, and nothing may start under this id.
 		n.table.Refuse(j.run, failed.Verdict, failed.Reason)
 	case failed.Reason == verdict.ReasonLeaving:
 		n.table.Forget(j.run)
@@ -348,7 +345,7 @@
 	}
 }
 
-// endedBy is the error of a request whose context has ended.
+// endedBy returns the error of a request whose context ended with cause.
 func endedBy(cause error, sent bool) error {
 	v := verdict.NotRun
 	if sent {
--- a/internal/node/forward.go
+++ b/internal/node/forward.go
@@ -16,15 +16,15 @@
 	"github.com/wingvale/wingvale/verdict"
 )
 
-// submit decides who runs a request. It returns the run where that is here,
-// and neither run nor error where the issuer's answer has been passed on.
+// submit decides which node runs a request. It returns the run if that is this node, and
+// neither a run nor an error if the answer of the issuer has been forwarded.
 func (n *Node) submit(r *http.Request, w http.ResponseWriter, id request.ID, spec request.Spec) (*table.Run, error) {
 	if id.IsZero() {
 		return n.submitNew(spec)
 	}
 	if n.table.Issued(id) {
 		run, fresh, err := n.table.Begin(n.runCtx, id, spec)
-		return n.begun(run, fresh, err, spec)
+		return n.startFresh(run, fresh, err, spec)
 	}
 	if run, err := n.table.Find(id); err == nil {
 		return run, nil
@@ -33,8 +33,8 @@
 	if err == nil || !mayAdopt(spec, err) {
 		return nil, err
 	}
-	if readyErr := n.mayAdmit(); readyErr != nil {
-		// What a node that is not ready holds of the configuration says nothing.
+	if readyErr := n.checkAdmission(); readyErr != nil {
+		// The configuration of a node that is not ready may be incomplete.
 		return nil, verdict.AfterSend(readyErr)
 	}
 	if _, planErr := n.repeatablePlan(spec); planErr != nil {
@@ -42,11 +42,10 @@
 	}
 	n.scope.Counter("adopted").Inc(1)
 	run, fresh, err := n.table.Adopt(n.runCtx, id, spec)
-	return n.begun(run, fresh, err, spec)
+	return n.startFresh(run, fresh, err, spec)
 }
 
-// mayAdopt reports whether a request whose issuer cannot be asked may run here
-// instead.
+// mayAdopt reports whether a request may run here after its issuer could not be asked.
 func mayAdopt(spec request.Spec, err error) bool {
 	if spec.Unrepeatable {
 		return false
@@ -72,7 +71,7 @@
 }
 
 func (n *Node) submitNew(spec request.Spec) (*table.Run, error) {
-	if err := n.mayAdmit(); err != nil {
+	if err := n.checkAdmission(); err != nil {
 		return nil, err
 	}
 	p, err := n.newPlan(spec)
@@ -83,11 +82,11 @@
 		return nil, verdict.New(verdict.NotRun, verdict.ReasonNeedID, "node: an unrepeatable request needs an issued id")
 	}
 	run, fresh, err := n.table.Begin(n.runCtx, n.table.Issue(1)[0], spec)
-	return n.begun(run, fresh, err, spec)
+	return n.startFresh(run, fresh, err, spec)
 }
 
-// begun admits a fresh run and starts it, or returns the one that there is.
-func (n *Node) begun(run *table.Run, fresh bool, err error, spec request.Spec) (*table.Run, error) {
+// startFresh admits and starts a fresh run, or returns the existing one.
+func (n *Node) startFresh(run *table.Run, fresh bool, err error, spec request.Spec) (*table.Run, error) {
 	if err != nil || !fresh {
 		return run, err
 	}
@@ -99,9 +98,9 @@
 	return run, nil
 }
 
-// refuseRun ends a run that was not admitted. For an id of this node the
-// refusal is settled: a copy of the request that comes later is refused too.
-// Where an earlier attempt or the issuer may have run it, it is Unknown.
+// refuseRun ends a run that was not admitted. For an id of this node the refusal is final: a
+// later copy of the request is refused too. If an earlier attempt or the issuer may have run
+// it, the verdict is Unknown.
 func (n *Node) refuseRun(run *table.Run, err error) error {
 	e := *verdict.As(err)
 	own := n.table.Issued(run.ID)
@@ -119,7 +118,7 @@
 }
 
 func (n *Node) admitRun(spec request.Spec) (*plan, error) {
-	if err := n.mayAdmit(); err != nil {
+	if err := n.checkAdmission(); err != nil {
 		return nil, err
 	}
 	if int(n.running.Load()) >= n.settings.MaxRunning {
@@ -132,8 +131,8 @@
 	return p, n.admit(p)
 }
 
-// forward passes a call to the node that issued id and copies its answer to
-// the caller. An error means that the caller has been told nothing yet.
+// forward forwards a call to the node that issued id and copies its answer to the caller. If
+// it returns an error, nothing has been sent to the caller yet.
 func (n *Node) forward(w http.ResponseWriter, r *http.Request, id request.ID, spec *request.Spec) error {
 	if id.Issuer == n.settings.Caller {
 		return verdict.New(verdict.Unknown, verdict.ReasonIssuerGone, "node: the issuer of %s has been replaced", id)
@@ -142,11 +141,11 @@
 		return verdict.New(verdict.Unknown, verdict.ReasonIssuerGone, "node: this is not the issuer of %s", id)
 	}
 	if _, known := n.view.Of(id.Issuer); !known {
-		// An address that no list and no peer has named is not connected to:
-		// ids come from callers.
+		// Ids come from callers: never connect to an address that neither the host list nor a
+		// peer has named.
 		return verdict.New(verdict.Unknown, verdict.ReasonIssuerGone, "node: the issuer of %s is not known", id)
 	}
-	response, err := n.passOn(r, id, spec)
+	response, err := n.sendToIssuer(r, id, spec)
 	if err != nil {
 		return verdict.New(verdict.Unknown, verdict.ReasonIssuerUnreachable, "node: the issuer of %s does not answer: %w", id, err)
 	}
@@ -159,43 +158,43 @@
 	return nil
 }
 
-func (n *Node) passOn(r *http.Request, id request.ID, spec *request.Spec) (*http.Response, error) {
+func (n *Node) sendToIssuer(r *http.Request, id request.ID, spec *request.Spec) (*http.Response, error) {
 	body := []byte(nil)
 	if spec != nil {
 		body, _ = json.Marshal(spec)
 	}
 	url := "http://" + id.Issuer.String() + r.URL.RequestURI()
-	out, err := http.NewRequestWithContext(r.Context(), r.Method, url, bytes.NewReader(body))
+	forwarded, err := http.NewRequestWithContext(r.Context(), r.Method, url, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
-	out.Header.Set(HeaderForwarded, n.settings.Caller.String())
-	out.Header.Set(HeaderID, id.String())
-	out.Header.Set(HeaderRevision, strconv.FormatUint(n.configuration.Summary().Revision, 10))
-	out.Header.Set(wire.ContentType, wire.TypeJSON)
-	return n.forwards.Do(out)
+	forwarded.Header.Set(HeaderForwarded, n.settings.Caller.String())
+	forwarded.Header.Set(HeaderID, id.String())
+	forwarded.Header.Set(HeaderRevision, strconv.FormatUint(n.configuration.Summary().Revision, 10))
+	forwarded.Header.Set(wire.ContentType, wire.TypeJSON)
+	return n.forwards.Do(forwarded)
 }
 
-const refusalLimit = 64 << 10
+const maxRefusalBytes = 64 << 10
 
-// forwardedRefusal turns the issuer's refusal back into an error.
+// forwardedRefusal converts the issuer's refusal to an error.
 func forwardedRefusal(response *http.Response) error {
-	failed, err := wire.ReadLoose[request.Failed](response.Body, refusalLimit)
+	failed, err := wire.ReadLoose[request.Failed](response.Body, maxRefusalBytes)
 	if err != nil {
 		return verdict.New(verdict.Unknown, verdict.ReasonIssuerUnreachable, "node: the issuer's refusal: %w", err)
 	}
 	return failed.Err()
 }
 
-const copyBuffer = 16 << 10
+const copyBufferBytes = 16 << 10
 
-// copyStream passes bytes on as they come. Where the issuer breaks off, so
-// does the caller's stream, which the caller sees by the missing end.
+// copyStream copies the response as it arrives. If the issuer breaks off, so does the caller's
+// stream; the caller detects this by the missing end event.
 func copyStream(w http.ResponseWriter, response *http.Response) {
 	control := http.NewResponseController(w)
 	w.Header().Set(wire.ContentType, response.Header.Get(wire.ContentType))
 	w.WriteHeader(http.StatusOK)
-	buffer := make([]byte, copyBuffer)
+	buffer := make([]byte, copyBufferBytes)
 	for {
 		count, err := response.Body.Read(buffer)
 		if count > 0 {
--- a/internal/node/generate.go
+++ b/internal/node/generate.go
@@ -17,19 +17,19 @@
 )
 
 const (
-	// resumes bounds how often one stream is taken up again.
-	resumes     = 3
-	resumePause = 50 * time.Millisecond
-	// stallAfter is how long a stream may bring nothing before it is taken up
-	// anew, and begun elsewhere if that brings nothing either.
-	stallAfter = 8 * time.Second
-	cancelFor  = time.Second
-	// Priorities of engines: lower comes first.
-	priorityUrgent  = 0
-	priorityPatient = 10
+	// maxResumes limits how often one stream is resumed.
+	maxResumes    = 3
+	resumeBackoff = 50 * time.Millisecond
+	// stallTimeout is how long a stream may be silent before it is resumed, and restarted on
+	// another server if that fails.
+	stallTimeout  = 8 * time.Second
+	cancelTimeout = time.Second
+	// Priorities of calls to engines: lower values are served first.
+	priorityUrgent     = 0
+	priorityBackground = 10
 )
 
-// prompt fills the template's prompt.
+// prompt expands the template's prompt.
 func (j *job) prompt(s *step) string {
 	text := s.Prompt
 	if text == "" {
@@ -38,21 +38,20 @@
 	return strings.NewReplacer("{previous}", string(j.previous), "{input}", j.spec.Input).Replace(text)
 }
 
-// prefix names the part of the prompt that requests of the pipeline share, so
-// that an engine that holds it is preferred.
+// prefix identifies the part of the prompt that all requests of the pipeline share, so that
+// engines that have it cached are preferred.
 func (j *job) prefix(s *step) uint64 {
 	head, _, _ := strings.Cut(s.Prompt, "{")
 	return protocol.PrefixOf(s.Model, s.Adapter, head)
 }
 
-// generate runs an engine stage. If it is the last one, its text goes to the
-// caller as it comes.
+// generate runs an engine stage. If it is the last stage, its text is streamed to the caller.
 func (n *Node) generate(ctx context.Context, j *job, s *step, call backend.Call, last bool) (json.RawMessage, backend.Report, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	opening := time.AfterFunc(openPatience(j, s), func() { cancel(errOpening) })
+	openTimer := time.AfterFunc(openTimeout(j, s), func() { cancel(errOpenTimeout) })
 	stream, report, err := n.openStream(ctx, j, s, &call, last)
-	if !opening.Stop() || err != nil {
+	if !openTimer.Stop() || err != nil {
 		if stream != nil {
 			stream.Close()
 		}
@@ -62,7 +61,7 @@
 	for tries := 0; ; tries++ {
 		err = n.readStream(ctx, j, stream, last, &text)
 		if err == nil {
-			// Whatever its events say, the engine has just had the prefix.
+			// The engine has just processed the prefix, whatever its cache events say.
 			s.pool.Warm(j.prefix(s), call.Server, true)
 			result, marshalErr := json.Marshal(text.String())
 			return result, report, marshalErr
@@ -71,37 +70,36 @@
 			n.cancelStream(call, stream.ID)
 			return nil, report, err
 		}
-		again := n.resumeStream(ctx, call, stream, tries)
-		if again == nil {
+		resumed := n.resumeStream(ctx, call, stream, tries)
+		if resumed == nil {
 			n.cancelStream(call, stream.ID)
 			return nil, report, err
 		}
-		stream = again
+		stream = resumed
 	}
 }
 
-var errOpening = errors.New("node: the engine does not begin to answer")
+var errOpenTimeout = errors.New("node: the engine did not begin its answer in time")
 
-// openPatience is how long an engine may take to begin to answer.
-func openPatience(j *job, s *step) time.Duration {
-	return max(patience(j, s), stallAfter)
+// openTimeout returns how long an engine may take to begin its answer.
+func openTimeout(j *job, s *step) time.Duration {
+	return max(callTimeout(j, s), stallTimeout)
 }
 
 func openError(ctx context.Context, err error) error {
-	if errors.Is(context.Cause(ctx), errOpening) {
-		return verdict.New(verdict.Unknown, verdict.ReasonServerFailed, "%w", errOpening)
+	if errors.Is(context.Cause(ctx), errOpenTimeout) {
+		return verdict.New(verdict.Unknown, verdict.ReasonServerFailed, "%w", errOpenTimeout)
 	}
 	return err
 }
 
-// openStream starts the completion, or takes up the one that the caller's
-// checkpoint names.
+// openStream starts the completion, or resumes the stream named by the caller's checkpoint.
 func (n *Node) openStream(ctx context.Context, j *job, s *step, call *backend.Call, last bool) (*backend.Stream, backend.Report, error) {
-	if stream, report := n.takeUp(ctx, j, call); stream != nil {
+	if stream, report := n.resumeCheckpoint(ctx, j, call); stream != nil {
 		return stream, report, nil
 	}
 	if last && j.run.Chunks() > 0 {
-		// What the caller holds came from another stream: begin anew.
+		// The chunks that the caller has are from another stream: restart.
 		j.run.Restart()
 		j.digest = request.NewDigest()
 	}
@@ -114,7 +112,7 @@
 		User:      j.workspace.Name,
 	}
 	if j.background() {
-		body.Priority = priorityPatient
+		body.Priority = priorityBackground
 	}
 	stream, report, err := n.backends.Complete(ctx, *call, body)
 	if err != nil {
@@ -124,41 +122,40 @@
 	return stream, report, nil
 }
 
-// takeUp goes on with the stream that another node began for this request. It
-// is tried once, and only at a server that the host list has for the stage.
-func (n *Node) takeUp(ctx context.Context, j *job, call *backend.Call) (*backend.Stream, backend.Report) {
+// resumeCheckpoint resumes the stream that another node started for this request. It is tried
+// once, and only on a server that the host list assigns to a pool.
+func (n *Node) resumeCheckpoint(ctx context.Context, j *job, call *backend.Call) (*backend.Stream, backend.Report) {
 	c := j.spec.Resume
-	if c == nil || c.Stream == nil || j.tookUp || c.Finished != j.finished {
+	if c == nil || c.Stream == nil || j.resumeTried || c.Finished != j.finished {
 		return nil, backend.Report{}
 	}
-	j.tookUp = true
+	j.resumeTried = true
 	if h, ok := n.hosts.Get(c.Stream.Server.String()); !ok || h.Pool == "" {
 		return nil, backend.Report{}
 	}
-	at := *call
-	at.Server = c.Stream.Server
-	stream, report, err := n.backends.Resume(ctx, at, c.Stream.ID, 0)
+	resumeCall := *call
+	resumeCall.Server = c.Stream.Server
+	stream, report, err := n.backends.Resume(ctx, resumeCall, c.Stream.ID, 0)
 	if err != nil {
 		return nil, report
 	}
-	*call = at
+	*call = resumeCall
 	n.scope.Counter("streams_taken_up").Inc(1)
 	j.checkpoint(c.Stream)
 	return stream, report
 }
 
-// readStream reads until the stream's end or its failure. The stream is closed
-// in any case.
+// readStream reads until the end or failure of the stream, and always closes it.
 func (n *Node) readStream(ctx context.Context, j *job, stream *backend.Stream, last bool, text *strings.Builder) error {
 	defer stream.Close()
-	stall := time.AfterFunc(stallAfter, stream.Close)
+	stall := time.AfterFunc(stallTimeout, stream.Close)
 	defer stall.Stop()
 	for piece, err := range stream.Pieces() {
 		if err != nil {
 			return err
 		}
-		stall.Reset(stallAfter)
-		if last && !n.chunk(j, piece.Text) {
+		stall.Reset(stallTimeout)
+		if last && !n.appendChunk(j, piece.Text) {
 			return errAnswerTooLarge()
 		}
 		if !last && text.Len()+len(piece.Text) > protocol.MaxResultBytes {
@@ -171,29 +168,29 @@
 	return ctx.Err()
 }
 
-// resumeStream takes up a stream that was cut off, at the piece after the last
-// one that came. It returns nil where that fails.
+// resumeStream resumes an interrupted stream after the last piece received. It returns nil on
+// failure.
 func (n *Node) resumeStream(ctx context.Context, call backend.Call, stream *backend.Stream, tries int) *backend.Stream {
-	if tries >= resumes {
+	if tries >= maxResumes {
 		return nil
 	}
 	select {
 	case <-ctx.Done():
 		return nil
-	case <-time.After(resumePause << tries):
+	case <-time.After(resumeBackoff << tries):
 	}
-	again, _, err := n.backends.Resume(ctx, call, stream.ID, stream.Next())
+	resumed, _, err := n.backends.Resume(ctx, call, stream.ID, stream.Next())
 	if err != nil {
 		return nil
 	}
 	n.scope.Counter("streams_resumed").Inc(1)
-	return again
+	return resumed
 }
 
-// cancelStream frees the engine of a stream that nobody reads any more.
+// cancelStream cancels a stream that is no longer read, to free the engine.
 func (n *Node) cancelStream(call backend.Call, id string) {
 	n.runs.Go(func() {
-		ctx, cancel := context.WithTimeout(context.Background(), cancelFor)
+		ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 		defer cancel()
 		_ = n.backends.Cancel(ctx, call, id)
 	})
--- a/internal/node/listener.go
+++ b/internal/node/listener.go
@@ -9,27 +9,27 @@
 	"sync"
 )
 
-// callerShare is the part of the connections that one caller's address may
-// hold, so that a flood from it leaves room for the others.
-const callerShare = 4
+// callerShareDivisor is the divisor of the connection limit that applies to a single caller
+// address, so that a flood from one address leaves room for others.
+const callerShareDivisor = 4
 
-// boundedListener accepts no more connections than it has room for, and no more
-// than a share of them from one address. It closes those beyond at once.
+// boundedListener limits the open connections, in total and per address. It closes connections
+// beyond the limits at once.
 type boundedListener struct {
 	net.Listener
-	most int
+	maxConns int
 
 	mu sync.Mutex
-	// open counts the connections by address, total all of them.
-	open  map[netip.Addr]int
-	total int
+	// openByAddress counts the open connections by address; total counts all.
+	openByAddress map[netip.Addr]int
+	total         int
 }
 
-func newBoundedListener(l net.Listener, most int) *boundedListener {
-	return &boundedListener{Listener: l, most: most, open: make(map[netip.Addr]int)}
+func newBoundedListener(l net.Listener, maxConns int) *boundedListener {
+	return &boundedListener{Listener: l, maxConns: maxConns, openByAddress: make(map[netip.Addr]int)}
 }
 
-// Accept returns the next connection that there is room for.
+// Accept returns the next connection within the limits.
 func (l *boundedListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
@@ -37,14 +37,14 @@
 			return nil, err
 		}
 		from := addressOf(conn)
-		if l.take(from) {
-			return &boundedConn{Conn: conn, free: sync.OnceFunc(func() { l.free(from) })}, nil
+		if l.acquire(from) {
+			return &boundedConn{Conn: conn, releaseSlot: sync.OnceFunc(func() { l.releaseSlot(from) })}, nil
 		}
 		_ = conn.Close()
 	}
 }
 
-// addressOf returns the zero address for a connection that has none.
+// addressOf returns the remote address, or the zero address if there is none.
 func addressOf(conn net.Conn) netip.Addr {
 	remote, err := netip.ParseAddrPort(conn.RemoteAddr().String())
 	if err != nil {
@@ -53,34 +53,34 @@
 	return remote.Addr()
 }
 
-func (l *boundedListener) take(from netip.Addr) bool {
+func (l *boundedListener) acquire(from netip.Addr) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.total >= l.most || l.open[from] >= max(l.most/callerShare, 1) {
+	if l.total >= l.maxConns || l.openByAddress[from] >= max(l.maxConns/callerShareDivisor, 1) {
 		return false
 	}
 	l.total++
-	l.open[from]++
+	l.openByAddress[from]++
 	return true
 }
 
-func (l *boundedListener) free(from netip.Addr) {
+func (l *boundedListener) releaseSlot(from netip.Addr) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.total--
-	l.open[from]--
-	if l.open[from] == 0 {
-		delete(l.open, from)
+	l.openByAddress[from]--
+	if l.openByAddress[from] == 0 {
+		delete(l.openByAddress, from)
 	}
 }
 
 type boundedConn struct {
 	net.Conn
-	free func()
+	releaseSlot func()
 }
 
-// Close gives the connection's room back.
+// Close closes the connection and releases its place.
 func (c *boundedConn) Close() error {
-	defer c.free()
+	defer c.releaseSlot()
 	return c.Conn.Close()
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -33,18 +33,18 @@
 	"github.com/wingvale/wingvale/pipeline"
 )
 
-// Policy selects how a node decides. The zero value is ours; the baselines are
-// there to be measured against.
+// Policy selects the algorithms of a node. The zero value is the default; the other values are
+// baselines for comparison.
 type Policy struct {
 	Choose choose.Policy
 	Queue  queue.Policy
 	Limit  limit.Options
-	// AdmitAll turns admission off.
+	// AdmitAll disables admission control.
 	AdmitAll bool
 }
 
-// Options are a Node's dependencies. Settings, Log, Scope, Dial and the two
-// listeners are needed.
+// Options are the dependencies of a Node. Settings, Log, Scope, Dial and both listeners are
+// required.
 type Options struct {
 	Settings settings.Settings
 	Log      logrus.FieldLogger
@@ -53,17 +53,17 @@
 	// CallerListener and PeerListener are closed by the node.
 	CallerListener net.Listener
 	PeerListener   net.Listener
-	// Metrics serves what is scraped; nil serves nothing.
+	// Metrics serves the metrics; nil disables them.
 	Metrics http.Handler
 	Seed    uint64
 	Policy  Policy
-	// Table bounds the request table.
+	// Table limits the request table.
 	Table table.Options
-	// BeforeTick is called before each upkeep; tests hold a node still by it.
+	// BeforeTick is called before each readiness tick; tests use it to pause a node.
 	BeforeTick func()
 }
 
-// Node is one entry host. Run must be called once.
+// Node is one entry host. Run must be called exactly once.
 type Node struct {
 	options  Options
 	settings settings.Settings
@@ -87,28 +87,28 @@
 	ready         *readiness
 	runs          sync.WaitGroup
 	runCtx        context.Context
-	endRuns       context.CancelFunc
+	cancelRuns    context.CancelFunc
 	leaving       atomic.Bool
-	refusing      atomic.Bool
+	refusingNew   atomic.Bool
 	running       atomic.Int64
 
 	mu     sync.Mutex
 	random *rand.Rand
-	// caughtUp is when the last catch-up began.
-	caughtUp time.Time
-	// probed is when a request was last let through to learn of a kind of work.
-	probed map[string]time.Time
+	// lastCatchUp is when the last catch-up started.
+	lastCatchUp time.Time
+	// lastProbes is when a request was last admitted to refresh an estimate, by its key.
+	lastProbes map[string]time.Time
 
 	stop chan struct{}
 	done chan struct{}
 }
 
-// New returns a node that has not started.
+// New returns a node that is not yet running.
 func New(o Options) *Node {
 	now := time.Now()
 	s := o.Settings
 	random := rand.New(rand.NewPCG(o.Seed, uint64(s.Caller.Port())))
-	runCtx, endRuns := context.WithCancel(context.Background())
+	runCtx, cancelRuns := context.WithCancel(context.Background())
 	n := &Node{
 		options:       o,
 		settings:      s,
@@ -124,9 +124,9 @@
 		estimates:     estimate.New(),
 		budget:        budget.New(),
 		runCtx:        runCtx,
-		endRuns:       endRuns,
+		cancelRuns:    cancelRuns,
 		random:        random,
-		probed:        make(map[string]time.Time),
+		lastProbes:    make(map[string]time.Time),
 		stop:          make(chan struct{}),
 		done:          make(chan struct{}),
 	}
@@ -144,8 +144,8 @@
 		Log:      n.log,
 		Scope:    n.scope.SubScope("peer"),
 		Random:   n.childRandom(),
-		Listed:   n.listed,
-		Accepted: n.acceptedByPeer,
+		Listed:   n.isEntryHost,
+		Accepted: n.onAcceptedByPeer,
 	})
 	n.watchers = []*publisher.Watcher{
 		n.newWatcher(publisher.SpaceConfiguration, peerpb.Space_SPACE_CONFIGURATION, n.configuration),
@@ -157,8 +157,8 @@
 	return n
 }
 
-// answerFor is how long another node may take to begin to answer.
-const answerFor = time.Second
+// forwardHeaderTimeout is how long another node may take to send response headers.
+const forwardHeaderTimeout = time.Second
 
 func newHTTPClient(dial backend.Dial) *http.Client {
 	return &http.Client{
@@ -171,9 +171,9 @@
 			MaxIdleConnsPerHost: 8,
 			IdleConnTimeout:     30 * time.Second,
 			DisableCompression:  true,
-			// An issuer tells at once that it has accepted. One that stands
-			// still must not hold up a request that could run elsewhere.
-			ResponseHeaderTimeout: answerFor,
+			// An issuer accepts a request at once. One that hangs must not block a request
+			// that could run on another node.
+			ResponseHeaderTimeout: forwardHeaderTimeout,
 		},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
@@ -192,7 +192,7 @@
 		Store:  store,
 		Must:   func() bool { return n.mustWatch(space) },
 		Accepted: func(entries []published.Entry) {
-			n.noteAccepted(id, entries)
+			n.onAccepted(id, entries)
 			n.gossip.Spread(id, entries)
 		},
 		Log:    n.log,
@@ -200,12 +200,12 @@
 	})
 }
 
-// Done is closed when Run has returned.
+// Done returns a channel that is closed when Run has returned.
 func (n *Node) Done() <-chan struct{} {
 	return n.done
 }
 
-// Stop begins a planned stop. It returns at once; Done tells the end.
+// Stop starts a graceful stop and returns at once; see Done for its end.
 func (n *Node) Stop() {
 	if n.leaving.CompareAndSwap(false, true) {
 		close(n.stop)
@@ -214,8 +214,8 @@
 
 const serveHeaderTimeout = 5 * time.Second
 
-// Run serves until ctx ends, which cuts everything off, or until a planned
-// stop has finished.
+// Run serves until ctx is cancelled, which aborts all requests, or until a graceful stop has
+// finished.
 func (n *Node) Run(ctx context.Context) error {
 	defer close(n.done)
 	ctx, cancel := context.WithCancel(ctx)
@@ -234,10 +234,10 @@
 	serve(peerServer, n.options.PeerListener)
 	serve(callerServer, newBoundedListener(n.options.CallerListener, n.settings.MaxCallers))
 
-	partsCtx, stopParts := context.WithCancel(ctx)
-	defer stopParts()
-	var parts sync.WaitGroup
-	n.startParts(partsCtx, &parts)
+	componentsCtx, stopComponents := context.WithCancel(ctx)
+	defer stopComponents()
+	var components sync.WaitGroup
+	n.startComponents(componentsCtx, &components)
 
 	var err error
 	select {
@@ -247,13 +247,13 @@
 	case <-n.stop:
 		n.drain(ctx)
 	}
-	// The order matters: no new callers, then no runs, then the parts that
-	// runs need, and last the connections to others.
+	// The order matters: first no new callers, then no runs, then the components that runs
+	// need, and last the connections to other nodes.
 	closeServer(ctx, callerServer)
-	n.endRuns()
+	n.cancelRuns()
 	n.runs.Wait()
-	stopParts()
-	parts.Wait()
+	stopComponents()
+	components.Wait()
 	closeServer(ctx, peerServer)
 	servers.Wait()
 	n.publisher.Close()
@@ -263,14 +263,14 @@
 	return err
 }
 
-func (n *Node) startParts(ctx context.Context, parts *sync.WaitGroup) {
+func (n *Node) startComponents(ctx context.Context, components *sync.WaitGroup) {
 	for _, w := range n.watchers {
-		parts.Go(func() { w.Run(ctx) })
+		components.Go(func() { w.Run(ctx) })
 	}
-	parts.Go(func() { n.gossip.Run(ctx) })
-	parts.Go(func() { n.ready.run(ctx) })
-	parts.Go(func() { n.pools.run(ctx) })
-	parts.Go(func() { n.placer.run(ctx) })
+	components.Go(func() { n.gossip.Run(ctx) })
+	components.Go(func() { n.ready.run(ctx) })
+	components.Go(func() { n.pools.run(ctx) })
+	components.Go(func() { n.placer.run(ctx) })
 }
 
 func newServer(h http.Handler) *http.Server {
@@ -294,29 +294,29 @@
 	_ = s.Close()
 }
 
-// listed reports whether the host list has an entry host at address.
-func (n *Node) listed(address netip.AddrPort) bool {
+// isEntryHost reports whether the host list has an entry host at address.
+func (n *Node) isEntryHost(address netip.AddrPort) bool {
 	h, ok := n.hosts.Get(address.String())
 	return ok && h.Role == published.RoleEntry
 }
 
-func (n *Node) acceptedByPeer(space peerpb.Space, entries []published.Entry) {
-	n.noteAccepted(space, entries)
+func (n *Node) onAcceptedByPeer(space peerpb.Space, entries []published.Entry) {
+	n.onAccepted(space, entries)
 }
 
-// noteAccepted lets the parts know of values that came into force.
-func (n *Node) noteAccepted(space peerpb.Space, entries []published.Entry) {
+// onAccepted applies newly accepted values.
+func (n *Node) onAccepted(space peerpb.Space, entries []published.Entry) {
 	for _, e := range entries {
-		n.log.WithFields(logrus.Fields{"key": e.Key, "revision": e.Revision, "removed": e.Removed}).Debug("a value is in force")
+		n.log.WithFields(logrus.Fields{"key": e.Key, "revision": e.Revision, "removed": e.Removed}).Debug("value accepted")
 	}
 	n.scope.Counter("values_accepted").Inc(int64(len(entries)))
 	if space == peerpb.Space_SPACE_HOSTS {
-		n.takeHosts()
+		n.applyHosts()
 	}
 }
 
-// takeHosts brings the view and the pools in line with the host list.
-func (n *Node) takeHosts() {
+// applyHosts updates the view and the pools from the host list.
+func (n *Node) applyHosts() {
 	var members []fleet.Member
 	for _, h := range n.hosts.Values() {
 		if h.Role == published.RoleEntry {
@@ -327,7 +327,7 @@
 	n.pools.refresh()
 }
 
-// Leaving reports whether a planned stop has begun.
+// Leaving reports whether a graceful stop has begun.
 func (n *Node) Leaving() bool {
 	return n.leaving.Load()
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -27,10 +27,10 @@
 	"github.com/wingvale/wingvale/verdict"
 )
 
-var stranger = netip.MustParseAddr("10.200.0.1")
+var clientAddress = netip.MustParseAddr("10.200.0.1")
 
-// bubble runs do against a site of one node.
-func bubble(t *testing.T, do func(t *testing.T, s *harness.Site, dial func() (net.Conn, error))) {
+// withSite runs do against a site of one node.
+func withSite(t *testing.T, do func(t *testing.T, s *harness.Site, dial func() (net.Conn, error))) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		network := memnet.New(nil)
@@ -48,66 +48,66 @@
 		defer cancel()
 		assert.NilError(t, s.AwaitReady(ctx))
 		do(t, s, func() (net.Conn, error) {
-			return network.Dialer(stranger)(ctx, "tcp", s.Nodes()[0].Caller.String())
+			return network.Dialer(clientAddress)(ctx, "tcp", s.Nodes()[0].Caller.String())
 		})
 	})
 }
 
-const ask = `{"workspace":"paint-shops-north","pipeline":"recipe-explanation","input":"How do I mix alpine grey? 20 times","deadline":"2s"}`
+const requestJSON = `{"workspace":"paint-shops-north","pipeline":"recipe-explanation","input":"How do I mix alpine grey? 20 times","deadline":"2s"}`
 
 func post(conn net.Conn, body string) error {
 	_, err := fmt.Fprintf(conn, "POST /v1/requests HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	return err
 }
 
-func answered(t *testing.T, s *harness.Site) {
+func assertAnswers(t *testing.T, s *harness.Site) {
 	t.Helper()
 	spec := request.Spec{Workspace: "decorators", Pipeline: "catalogue-lookup", Input: "grey"}
 	_, err := s.Client("").Do(t.Context(), spec)
 	assert.NilError(t, err)
 }
 
-func TestAFloodOfConnectionsLeavesRoomForOthers(t *testing.T) {
-	bubble(t, func(t *testing.T, s *harness.Site, dial func() (net.Conn, error)) {
+func TestConnectionFloodDoesNotBlockOtherCallers(t *testing.T) {
+	withSite(t, func(t *testing.T, s *harness.Site, dial func() (net.Conn, error)) {
 		var open []net.Conn
 		for range 100 {
 			conn, err := dial()
 			assert.NilError(t, err)
 			open = append(open, conn)
 		}
-		answered(t, s)
+		assertAnswers(t, s)
 		for _, conn := range open {
 			_ = conn.Close()
 		}
 	})
 }
 
-func TestAReaderThatTakesNothingHarmsOnlyItself(t *testing.T) {
-	bubble(t, func(t *testing.T, s *harness.Site, dial func() (net.Conn, error)) {
+func TestStalledReaderDoesNotAffectOtherCallers(t *testing.T) {
+	withSite(t, func(t *testing.T, s *harness.Site, dial func() (net.Conn, error)) {
 		conn, err := dial()
 		assert.NilError(t, err)
-		assert.NilError(t, post(conn, ask))
+		assert.NilError(t, post(conn, requestJSON))
 		time.Sleep(500 * time.Millisecond)
-		answered(t, s)
+		assertAnswers(t, s)
 		time.Sleep(15 * time.Second)
 		assert.Equal(t, s.Nodes()[0].Dump().Running, int64(0), "the run does not wait for its reader")
 		_ = conn.Close()
 	})
 }
 
-func TestAKeptConnectionServesAgainAfterLong(t *testing.T) {
-	bubble(t, func(t *testing.T, _ *harness.Site, dial func() (net.Conn, error)) {
+func TestKeptAliveConnectionServesAfterIdlePeriod(t *testing.T) {
+	withSite(t, func(t *testing.T, _ *harness.Site, dial func() (net.Conn, error)) {
 		conn, err := dial()
 		assert.NilError(t, err)
 		reader := bufio.NewReader(conn)
 		for range 3 {
-			assert.NilError(t, post(conn, strings.Replace(ask, " 20 times", "", 1)))
+			assert.NilError(t, post(conn, strings.Replace(requestJSON, " 20 times", "", 1)))
 			response, err := http.ReadResponse(reader, nil)
 			assert.NilError(t, err)
 			text, err := io.ReadAll(response.Body)
 			assert.NilError(t, err)
 			assert.Assert(t, strings.Contains(string(text), "event: done"), "got %s", text)
-			// Longer than a stream's write deadline, within the idle time.
+			// Longer than the write deadline of a stream, shorter than the idle timeout.
 			time.Sleep(30 * time.Second)
 			_, err = io.WriteString(conn, "GET /v1/addresses HTTP/1.1\r\nHost: x\r\n\r\n")
 			assert.NilError(t, err)
@@ -120,19 +120,19 @@
 	})
 }
 
-func TestBadInputIsRefusedAsNotRun(t *testing.T) {
+func TestInvalidInputIsRefusedAsNotRun(t *testing.T) {
 	const tooLarge = "too_large"
 	cases := []struct{ name, body, want string }{
 		{"no JSON", "{", "bad_request"},
 		{"an unknown field", `{"workspace":"a","pipeline":"b","tea":1}`, "tea"},
-		{"two values", ask + ask, "bad_request"},
+		{"two values", requestJSON + requestJSON, "bad_request"},
 		{"a huge input", `{"workspace":"a","pipeline":"b","input":"` + strings.Repeat("x", request.MaxInputBytes+1) + `"}`, "262144"},
 		{"a huge body", strings.Repeat(" ", request.MaxBodyBytes+1), tooLarge},
 		{"a negative deadline", `{"workspace":"a","pipeline":"b","deadline":"-1s"}`, "negative"},
 		{"an unrepeatable resume", `{"workspace":"a","pipeline":"b","unrepeatable":true,"resume":{"attempt":1}}`, "cannot resume"},
 		{"a deep nest", `{"workspace":` + strings.Repeat("[", 20000), "bad_request"},
 	}
-	bubble(t, func(t *testing.T, s *harness.Site, _ func() (net.Conn, error)) {
+	withSite(t, func(t *testing.T, s *harness.Site, _ func() (net.Conn, error)) {
 		rt := s.Transport()
 		for _, c := range cases {
 			r, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+s.Nodes()[0].Caller.String()+"/v1/requests", strings.NewReader(c.body))
@@ -153,10 +153,10 @@
 	})
 }
 
-// TestACheckpointOfTheLastStageIsNoAnswer guards against an answer without text
-// that would pass for whole: nothing would be left to run.
-func TestACheckpointOfTheLastStageIsNoAnswer(t *testing.T) {
-	bubble(t, func(t *testing.T, s *harness.Site, _ func() (net.Conn, error)) {
+// TestResumeAfterLastStageIsRefused guards against an empty answer that looks complete: no
+// stage would be left to run.
+func TestResumeAfterLastStageIsRefused(t *testing.T) {
+	withSite(t, func(t *testing.T, s *harness.Site, _ func() (net.Conn, error)) {
 		spec := request.Spec{Workspace: "decorators", Pipeline: "catalogue-lookup", Input: "grey"}
 		spec.Resume = &request.Checkpoint{Attempt: 1, Finished: "lookup", Result: []byte(`"x"`)}
 		_, err := s.Client("").Do(t.Context(), spec)
@@ -174,8 +174,8 @@
 	})
 }
 
-func TestReattachStatusAndCancel(t *testing.T) {
-	bubble(t, func(t *testing.T, s *harness.Site, _ func() (net.Conn, error)) {
+func TestReattachGetStatusAndCancel(t *testing.T) {
+	withSite(t, func(t *testing.T, s *harness.Site, _ func() (net.Conn, error)) {
 		caller := s.Client("")
 		spec := request.Spec{Workspace: "head-office", Pipeline: "season-review", Input: "grey 50 times"}
 		ended := make(chan error, 1)
--- a/internal/node/operator.go
+++ b/internal/node/operator.go
@@ -18,10 +18,10 @@
 	"github.com/wingvale/wingvale/pipeline"
 )
 
-// dumpLimit bounds each list in a dump.
+// dumpLimit limits each list in a dump.
 const dumpLimit = 200
 
-// Dump is a node's state, for operators.
+// Dump is the state of a node, for operators.
 type Dump struct {
 	Self          fleet.Member                 `json:"self"`
 	Ready         bool                         `json:"ready"`
@@ -42,7 +42,7 @@
 	Orders        OrderState                   `json:"orders"`
 }
 
-// OrderState counts the orders that the node sent to engines.
+// OrderState counts the orders that the node sent to engines, by outcome.
 type OrderState struct {
 	Taken   int    `json:"taken"`
 	Refused int    `json:"refused"`
@@ -50,13 +50,13 @@
 	Last    string `json:"last,omitempty"`
 }
 
-// Dump returns the node's state, with each list cut to a bound.
+// Dump returns the state of the node, with each list truncated to dumpLimit.
 func (n *Node) Dump() Dump {
 	members := n.view.Members()
 	leaving := n.view.Leaving()
 	d := Dump{
 		Self:          n.view.Self(),
-		Ready:         n.ready.ok(),
+		Ready:         n.ready.canAdmit(),
 		Partial:       n.ready.partial.Load(),
 		Leaving:       n.leaving.Load(),
 		Pauses:        n.ready.pauses.Load(),
@@ -82,7 +82,7 @@
 func (p *placer) state() OrderState {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return OrderState{Taken: p.sent, Refused: p.refused, Failed: p.failed, Last: p.last}
+	return OrderState{Taken: p.accepted, Refused: p.refused, Failed: p.failed, Last: p.lastOrder}
 }
 
 func (n *Node) operatorHandler() http.Handler {
--- a/internal/node/placer.go
+++ b/internal/node/placer.go
@@ -22,14 +22,14 @@
 )
 
 const (
-	placeEvery = time.Second
-	orderFor   = 2 * time.Second
-	// settled is how long the view must not have changed before this node
-	// orders an engine that does not check who orders.
-	settled = 10 * time.Second
-	// freshState is how old an engine's report may be to base orders on.
-	freshState = 2 * pollEngine
-	orderStage = "order"
+	placeInterval = time.Second
+	orderTimeout  = 2 * time.Second
+	// minUndisturbed is how long the view must have been undisturbed before this node sends
+	// orders to an engine that does not check their fence.
+	minUndisturbed = 10 * time.Second
+	// maxStateAge is the maximum age of an engine's report that orders are based on.
+	maxStateAge = 2 * pollIntervalEngine
+	orderStage  = "order"
 )
 
 // placer sends orders to the engines that this node owns.
@@ -37,11 +37,11 @@
 	node *Node
 
 	mu sync.Mutex
-	// sent counts orders by outcome.
-	sent    int
-	refused int
-	failed  int
-	last    string
+	// The counters count orders by outcome.
+	accepted  int
+	refused   int
+	failed    int
+	lastOrder string
 }
 
 func newPlacer(n *Node) *placer {
@@ -49,37 +49,36 @@
 }
 
 func (p *placer) run(ctx context.Context) {
-	every(ctx, placeEvery, func() {
-		if p.node.ready.ok() && !p.node.leaving.Load() {
-			p.round(ctx)
+	repeat(ctx, placeInterval, func() {
+		if p.node.ready.canAdmit() && !p.node.leaving.Load() {
+			p.placeRound(ctx)
 		}
 	})
 }
 
-// round sends this node's part of the next orders, one at a time.
-func (p *placer) round(ctx context.Context) {
+// placeRound sends this node's share of the next orders, one at a time.
+func (p *placer) placeRound(ctx context.Context) {
 	n := p.node
-	// The revision is taken before the models: what the fence claims must not
-	// be newer than what the order says.
+	// The revision is read before the models: the fence must not claim a newer revision than
+	// the order is based on.
 	through := n.configuration.Summary().Through
 	models := n.models()
 	engines := p.engines()
 	nodes := n.liveNodes()
 	for _, step := range place.Steps(models, engines) {
-		if owner.Of(nodes, step.Engine.String()) == n.settings.Caller && p.known(step, through) {
-			p.order(ctx, step, through)
+		if owner.Of(nodes, step.Engine.String()) == n.settings.Caller && p.isCovered(step, through) {
+			p.sendOrder(ctx, step, through)
 		}
 	}
 }
 
-// known reports whether the order says nothing newer than a revision up to
-// which the node has every key. Then no owner with that revision, or a later
-// one, can hold an older value.
-func (p *placer) known(step place.Step, through uint64) bool {
+// isCovered reports whether the order is based on values no newer than a revision up to which
+// the node has every key. Then no owner with that or a later revision can have an older value.
+func (p *placer) isCovered(step place.Step, through uint64) bool {
 	return p.node.configuration.Revision(pipeline.PrefixModel+step.Model) <= through
 }
 
-// engines returns what the engines that the node uses have reported lately.
+// engines returns the engines that the node uses and that have reported recently.
 func (p *placer) engines() []place.Engine {
 	n := p.node
 	var engines []place.Engine
@@ -87,8 +86,8 @@
 		if h.Role != published.RoleEngine {
 			continue
 		}
-		state, at, ok := n.pools.state(address)
-		if !ok || time.Since(at) > freshState {
+		state, answeredAt, ok := n.pools.state(address)
+		if !ok || time.Since(answeredAt) > maxStateAge {
 			continue
 		}
 		engines = append(engines, place.Engine{
@@ -101,25 +100,25 @@
 	return engines
 }
 
-// order sends one order, after it has read the engine's state again. The order
-// is worth nothing if this node has been paused or cut off meanwhile: an engine
-// that checks refuses it by its fence, and for one that does not check the view
-// must have been undisturbed.
-func (p *placer) order(ctx context.Context, step place.Step, through uint64) {
+// sendOrder sends one order after it has read the engine's state again. If this node has been
+// paused or partitioned in the meantime, the order must have no effect: an engine that checks
+// orders refuses it by its fence, and for any other engine the view must have been
+// undisturbed.
+func (p *placer) sendOrder(ctx context.Context, step place.Step, through uint64) {
 	n := p.node
 	h, ok := n.pools.host(step.Engine)
-	if !ok || !h.ChecksOrders && n.view.Undisturbed(time.Now()) < settled {
+	if !ok || !h.ChecksOrders && n.view.Undisturbed(time.Now()) < minUndisturbed {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, orderFor)
+	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	begin := time.Now()
+	startedAt := time.Now()
 	state, err := n.backends.State(ctx, backend.Call{Server: step.Engine})
 	if err != nil {
 		return
 	}
 	fence, ok := place.Fence(state.Fence, through)
-	if !ok || !n.ready.ok() || time.Since(begin) > pausedAfter {
+	if !ok || !n.ready.canAdmit() || time.Since(startedAt) > pauseThreshold {
 		return
 	}
 	order := protocol.Order{
@@ -132,31 +131,31 @@
 	}
 	call := backend.Call{Server: step.Engine, Request: n.table.Issue(1)[0], Stage: orderStage, Attempt: 1}
 	state, err = n.backends.Order(ctx, call, order)
-	p.note(step, err)
+	p.recordOrder(step, err)
 	if err == nil {
-		n.pools.observeEngine(h, state)
+		n.pools.observeState(h, state)
 	}
 }
 
-func (p *placer) note(step place.Step, err error) {
+func (p *placer) recordOrder(step place.Step, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.last = string(step.Action) + " " + step.Model + " at " + step.Engine.String()
+	p.lastOrder = string(step.Action) + " " + step.Model + " at " + step.Engine.String()
 	fields := logrus.Fields{"server": step.Engine, "action": step.Action, "model": step.Model, "version": step.Version}
 	switch {
 	case err == nil:
-		p.sent++
-		p.node.log.WithFields(fields).Info("an order was taken")
+		p.accepted++
+		p.node.log.WithFields(fields).Info("engine accepted an order")
 	case verdict.Of(err) == verdict.NotRun:
 		p.refused++
-		p.node.log.WithFields(fields).WithError(err).Info("an order was refused")
+		p.node.log.WithFields(fields).WithError(err).Info("engine refused an order")
 	default:
 		p.failed++
-		p.node.log.WithFields(fields).WithError(err).Warn("an order may have failed")
+		p.node.log.WithFields(fields).WithError(err).Warn("an order to an engine failed, or its outcome is unknown")
 	}
 }
 
-// liveNodes returns the nodes that may own engines, this one included.
+// liveNodes returns the nodes that may own engines, including this one.
 func (n *Node) liveNodes() []netip.AddrPort {
 	nodes := []netip.AddrPort{n.settings.Caller}
 	for _, m := range n.view.Members() {
--- a/internal/node/plan.go
+++ b/internal/node/plan.go
@@ -13,20 +13,20 @@
 	"github.com/wingvale/wingvale/verdict"
 )
 
-// plan is what a request will do, made once at its start from the values then
-// in force. A change of configuration meets the next request.
+// plan is the execution plan of a request, made once at its start from the values then in
+// force. Later changes of the configuration apply to later requests.
 type plan struct {
 	spec      request.Spec
 	workspace pipeline.Workspace
 	template  pipeline.Template
-	// start is the first stage to run, always one of the steps; those before it
+	// start is the first stage to run, always a valid index of steps; the stages before it
 	// have finished.
 	start int
 	steps []step
-	// begin and deadline bound the request.
-	begin    time.Time
-	deadline time.Time
-	// unrepeatable says that no stage may be sent twice.
+	// startedAt and deadline bound the request.
+	startedAt time.Time
+	deadline  time.Time
+	// unrepeatable is set if no stage may be sent twice.
 	unrepeatable bool
 }
 
@@ -34,39 +34,39 @@
 type step struct {
 	pipeline.Stage
 	pool *dispatch.Pool
-	// kind is the estimate's key.
-	kind     string
-	expected estimate.Estimate
-	// rest is the expected work of this stage and all after it, and margin
-	// what most requests need beyond that.
-	rest   time.Duration
-	margin time.Duration
-	// settle takes back what is committed at the pool for this stage. It may
-	// be called any number of times, and is never nil.
-	settle func()
+	// estimateKey is the key of the stage in the table of estimates.
+	estimateKey string
+	expected    estimate.Estimate
+	// remainingWork is the expected work of this and all later stages, and margin the extra
+	// time that most requests need beyond that.
+	remainingWork time.Duration
+	margin        time.Duration
+	// release removes the work committed to the pool for this stage. It is idempotent and
+	// never nil.
+	release func()
 }
 
-// newPlan resolves spec against the values in force. It fails with NotRun.
+// newPlan resolves spec against the values in force. Its errors are NotRun.
 func (n *Node) newPlan(spec request.Spec) (*plan, error) {
 	w, t, err := n.resolve(spec)
 	if err != nil {
 		return nil, err
 	}
-	p := &plan{spec: spec, workspace: w, template: t, begin: time.Now(), unrepeatable: spec.Unrepeatable}
+	p := &plan{spec: spec, workspace: w, template: t, startedAt: time.Now(), unrepeatable: spec.Unrepeatable}
 	wait := t.Deadline.Std()
-	if asked := spec.Deadline.Std(); asked > 0 {
-		wait = min(asked, wait)
+	if requested := spec.Deadline.Std(); requested > 0 {
+		wait = min(requested, wait)
 	}
-	p.deadline = p.begin.Add(wait)
+	p.deadline = p.startedAt.Add(wait)
 	for _, s := range t.Stages {
 		p.unrepeatable = p.unrepeatable || s.Unrepeatable
 		p.steps = append(p.steps, n.newStep(t, s))
 	}
-	rest, margin := time.Duration(0), time.Duration(0)
+	remainingWork, margin := time.Duration(0), time.Duration(0)
 	for i := len(p.steps) - 1; i >= 0; i-- {
-		rest += p.steps[i].expected.Mean
-		margin += margins * p.steps[i].expected.Spread
-		p.steps[i].rest, p.steps[i].margin = rest, margin
+		remainingWork += p.steps[i].expected.Mean
+		margin += marginDeviations * p.steps[i].expected.Spread
+		p.steps[i].remainingWork, p.steps[i].margin = remainingWork, margin
 	}
 	if spec.Resume != nil {
 		return p, p.resume(*spec.Resume)
@@ -91,11 +91,11 @@
 }
 
 func (n *Node) newStep(t pipeline.Template, s pipeline.Stage) step {
-	kind := t.Name + "/" + s.Name + "/" + s.Model
-	return step{Stage: s, pool: n.pools.of(s.Pool), kind: kind, expected: n.estimates.Of(kind), settle: func() {}}
+	estimateKey := t.Name + "/" + s.Name + "/" + s.Model
+	return step{Stage: s, pool: n.pools.get(s.Pool), estimateKey: estimateKey, expected: n.estimates.Of(estimateKey), release: func() {}}
 }
 
-// resume moves the start past the stages that the caller's checkpoint has.
+// resume moves the start past the stages that the caller's checkpoint covers.
 func (p *plan) resume(c request.Checkpoint) error {
 	if p.unrepeatable {
 		return verdict.New(verdict.Unknown, verdict.ReasonBadRequest, "node: an unrepeatable request cannot resume")
@@ -112,10 +112,10 @@
 	return verdict.New(verdict.Unknown, verdict.ReasonBadRequest, "node: no stage follows the checkpoint's %s in the pipeline", c.Finished)
 }
 
-// margins is how many mean deviations of its work a request is given beyond
-// what is expected. Without it, half of those that start at their latest time
-// would miss their deadline, at full cost.
-const margins = 3
+// marginDeviations is the margin of a request, in mean deviations of its work. Without it,
+// half of the requests that start at the latest possible time would miss their deadline, at
+// full cost.
+const marginDeviations = 3
 
 func (p *plan) margin() time.Duration {
 	return p.steps[p.start].margin
@@ -125,16 +125,16 @@
 	return p.template.Class == pipeline.ClassBackground
 }
 
-// maxRetryAfter bounds what a refused caller is asked to wait.
+// minRetryAfter and maxRetryAfter bound the Retry-After of a refusal.
 const (
 	minRetryAfter = 100 * time.Millisecond
 	maxRetryAfter = 30 * time.Second
 )
 
-// admit decides, before anything is spent, whether the request can be answered
-// in time. A stage begins when the one before has ended and the work committed
-// ahead at its own pool is drained, whichever is later: what waits for a later
-// stage is drained while the earlier ones run.
+// admit decides, before any resources are used, whether the request can meet its deadline. A
+// stage starts when the previous one has ended and the work committed ahead of it at its own
+// pool is drained, whichever is later: the queue of a later stage drains while the earlier
+// stages run.
 func (n *Node) admit(p *plan) error {
 	total := time.Duration(0)
 	for _, s := range p.steps[p.start:] {
@@ -148,62 +148,62 @@
 		total = max(total, f.Wait) + s.expected.Mean
 	}
 	total += p.margin()
-	left := time.Until(p.deadline)
-	if total <= left || n.options.Policy.AdmitAll {
+	available := time.Until(p.deadline)
+	if total <= available || n.options.Policy.AdmitAll {
 		return nil
 	}
-	if n.probe(p) {
+	if n.allowProbe(p) {
 		return nil
 	}
-	after := min(max(total-left, minRetryAfter), maxRetryAfter)
-	return verdict.New(verdict.NotRun, verdict.ReasonOverload, "node: would take %v of %v", total.Round(time.Millisecond), left.Round(time.Millisecond)).After(n.jitter(after))
+	retryAfter := min(max(total-available, minRetryAfter), maxRetryAfter)
+	return verdict.New(verdict.NotRun, verdict.ReasonOverload, "node: would take %v of %v", total.Round(time.Millisecond), available.Round(time.Millisecond)).After(n.jitter(retryAfter))
 }
 
-// probeAfter is how old an estimate must be before one request is let through
-// against it, and how long until the next.
-const probeAfter = 2 * time.Second
+// probeInterval is the minimum age of an estimate that a request may be admitted against as a
+// probe, and the minimum time between two probes.
+const probeInterval = 2 * time.Second
 
-// probe lets a request through that the estimates speak against, where they are
-// old: what made calls slow may have passed, and only a call can tell.
-func (n *Node) probe(p *plan) bool {
+// allowProbe reports whether a request may be admitted although the estimates say that it is
+// late. Old estimates are probed, since only a call can show that a slow phase is over.
+func (n *Node) allowProbe(p *plan) bool {
 	for _, s := range p.steps[p.start:] {
-		if n.estimates.Age(s.kind) < probeAfter {
+		if n.estimates.Age(s.estimateKey) < probeInterval {
 			continue
 		}
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		if time.Since(n.probed[s.kind]) < probeAfter {
+		if time.Since(n.lastProbes[s.estimateKey]) < probeInterval {
 			return false
 		}
-		n.probed[s.kind] = time.Now()
+		n.lastProbes[s.estimateKey] = time.Now()
 		n.scope.Counter("probes").Inc(1)
 		return true
 	}
 	return false
 }
 
-// jitter spreads d by up to a half more, so that refused callers do not come
-// back all at once.
+// jitter adds up to half of d at random, so that refused callers do not all retry at the same
+// time.
 func (n *Node) jitter(d time.Duration) time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return d + time.Duration(n.random.Int64N(int64(d)/2+1))
 }
 
-// commit counts the plan's work at the pools that it will come to. Background
-// work is not counted: it yields to all other.
+// commit adds the plan's work to the pools that it will use. Background work is not counted,
+// since it yields to all other work.
 func (p *plan) commit() {
 	for i := range p.steps {
 		s := &p.steps[i]
 		if i >= p.start && !p.background() {
-			s.settle = s.pool.Commit(p.workspace.Name, p.workspace.Weight, s.expected.Mean)
+			s.release = s.pool.Commit(p.workspace.Name, p.workspace.Weight, s.expected.Mean)
 		}
 	}
 }
 
-// settle takes all of it back that has not begun.
-func (p *plan) settle() {
+// release removes the committed work of stages that have not started.
+func (p *plan) release() {
 	for _, s := range p.steps {
-		s.settle()
+		s.release()
 	}
 }
--- a/internal/node/pools.go
+++ b/internal/node/pools.go
@@ -22,72 +22,72 @@
 )
 
 const (
-	// pollIdle is how often a backend server that sends no answers is asked
-	// for its load, pollEngine how often an engine is asked for its models, and
-	// pollLoading the same while it has none or loads one.
-	pollIdle    = 2 * time.Second
-	pollEngine  = 4 * time.Second
-	pollLoading = time.Second
-	pollFor     = 500 * time.Millisecond
-	// pollsAtOnce bounds the questions of one tick, and with it what a node
-	// spends on them however many servers there are.
-	pollsAtOnce = 2
+	// pollIntervalIdle is how often a backend server that sends no answers is polled for its
+	// load, pollIntervalEngine how often an engine is polled for its models, and
+	// pollIntervalLoading the same while it has no models or loads one.
+	pollIntervalIdle    = 2 * time.Second
+	pollIntervalEngine  = 4 * time.Second
+	pollIntervalLoading = time.Second
+	pollTimeout         = 500 * time.Millisecond
+	// maxPollsPerTick limits the polls of one tick, and with it the cost of polling,
+	// regardless of the number of servers.
+	maxPollsPerTick = 2
 )
 
-// pools has the dispatch pools of one node, made as the host list names them.
+// pools has the dispatch pools of one node, created as the host list names them.
 type pools struct {
 	node *Node
 
 	mu     sync.Mutex
 	byName map[string]*dispatch.Pool
-	// servers has the host of each backend server in use.
+	// servers has the host entry of each backend server in use.
 	servers map[netip.AddrPort]published.Host
-	// order has the servers to ask for their load, in turn.
-	order []netip.AddrPort
-	// states has what engines last said in full.
+	// pollOrder has the servers to poll, in round-robin order.
+	pollOrder []netip.AddrPort
+	// states has the last full report of each server.
 	states map[netip.AddrPort]engineState
-	// heard is when an answer last brought a report.
-	heard map[netip.AddrPort]time.Time
-	// cursors has how far each engine's cache events have been read.
+	// reportedAt is when an answer last included a load report.
+	reportedAt map[netip.AddrPort]time.Time
+	// cursors has the position in the cache events of each engine.
 	cursors map[netip.AddrPort]cacheCursor
 }
 
 type engineState struct {
 	protocol.EngineState
-	// asked is when the server was last asked, at when it answered.
-	asked time.Time
-	at    time.Time
+	// polledAt is when the server was last polled, answeredAt when it last answered.
+	polledAt   time.Time
+	answeredAt time.Time
 }
 
-// interval is how often the server is to be asked.
+// interval returns how often the server is to be polled.
 func (s engineState) interval(role published.Role) time.Duration {
 	if role != published.RoleEngine {
-		return pollIdle
+		return pollIntervalIdle
 	}
 	for _, m := range s.Models {
 		if !m.Ready {
-			return pollLoading
+			return pollIntervalLoading
 		}
 	}
 	if len(s.Models) == 0 {
-		return pollLoading
+		return pollIntervalLoading
 	}
-	return pollEngine
+	return pollIntervalEngine
 }
 
 func newPools(n *Node) *pools {
 	return &pools{
-		node:    n,
-		byName:  make(map[string]*dispatch.Pool),
-		servers: make(map[netip.AddrPort]published.Host),
-		states:  make(map[netip.AddrPort]engineState),
-		heard:   make(map[netip.AddrPort]time.Time),
-		cursors: make(map[netip.AddrPort]cacheCursor),
+		node:       n,
+		byName:     make(map[string]*dispatch.Pool),
+		servers:    make(map[netip.AddrPort]published.Host),
+		states:     make(map[netip.AddrPort]engineState),
+		reportedAt: make(map[netip.AddrPort]time.Time),
+		cursors:    make(map[netip.AddrPort]cacheCursor),
 	}
 }
 
-// of returns the pool of a name, or nil where the host list has none.
-func (p *pools) of(name string) *dispatch.Pool {
+// get returns the named pool, or nil if the host list has none.
+func (p *pools) get(name string) *dispatch.Pool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.byName[name]
@@ -108,7 +108,7 @@
 	return maps.Clone(p.servers)
 }
 
-// refresh brings the pools in line with the host list and the fleet view.
+// refresh updates the pools from the host list and the fleet view.
 func (p *pools) refresh() {
 	n := p.node
 	byPool := make(map[string][]published.Host)
@@ -120,7 +120,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.servers = make(map[netip.AddrPort]published.Host)
-	p.order = p.order[:0]
+	p.pollOrder = p.pollOrder[:0]
 	for name, hosts := range byPool {
 		p.refreshPool(name, p.subset(hosts))
 	}
@@ -129,13 +129,13 @@
 			pool.SetServers(nil)
 		}
 	}
-	gone := func(address netip.AddrPort) bool {
+	unused := func(address netip.AddrPort) bool {
 		_, ok := p.servers[address]
 		return !ok
 	}
-	maps.DeleteFunc(p.states, func(address netip.AddrPort, _ engineState) bool { return gone(address) })
-	maps.DeleteFunc(p.cursors, func(address netip.AddrPort, _ cacheCursor) bool { return gone(address) })
-	maps.DeleteFunc(p.heard, func(address netip.AddrPort, _ time.Time) bool { return gone(address) })
+	maps.DeleteFunc(p.states, func(address netip.AddrPort, _ engineState) bool { return unused(address) })
+	maps.DeleteFunc(p.cursors, func(address netip.AddrPort, _ cacheCursor) bool { return unused(address) })
+	maps.DeleteFunc(p.reportedAt, func(address netip.AddrPort, _ time.Time) bool { return unused(address) })
 }
 
 func (p *pools) refreshPool(name string, hosts []published.Host) {
@@ -147,7 +147,7 @@
 	servers := make([]dispatch.Server, 0, len(hosts))
 	for _, h := range hosts {
 		p.servers[h.Address] = h
-		p.order = append(p.order, h.Address)
+		p.pollOrder = append(p.pollOrder, h.Address)
 		instance := h.Instance
 		if s := p.states[h.Address]; s.Instance != "" {
 			instance = s.Instance
@@ -163,8 +163,8 @@
 	pool.SetServers(servers)
 }
 
-// sharers is how many nodes use each server of a pool: all of them for a small
-// pool, and for a large one as many as the subsets come to.
+// sharers returns how many nodes use each server of a pool: all nodes for a small pool, and as
+// many as the subsets imply for a large one.
 func (p *pools) sharers(used int) int {
 	nodes := len(p.node.liveNodes())
 	if used < p.node.settings.Subset {
@@ -184,9 +184,9 @@
 	}
 }
 
-// subset returns the servers of one pool that this node uses: all of a small
-// pool, and of a large one those for which its address scores highest, so that
-// a server that comes or goes changes few nodes.
+// subset returns the servers of one pool that this node uses: all of a small pool, and those
+// with the highest rendezvous scores for its address of a large one, so that an added or
+// removed server affects few nodes.
 func (p *pools) subset(hosts []published.Host) []published.Host {
 	slices.SortFunc(hosts, func(a, b published.Host) int { return a.Address.Compare(b.Address) })
 	count := p.node.settings.Subset
@@ -206,12 +206,12 @@
 	return subset
 }
 
-// run keeps the pools up to date until ctx ends.
+// run keeps the pools up to date until ctx is cancelled.
 func (p *pools) run(ctx context.Context) {
 	var polling sync.WaitGroup
-	polling.Go(func() { every(ctx, tickEvery, func() { p.poll(ctx) }) })
+	polling.Go(func() { repeat(ctx, tickInterval, func() { p.poll(ctx) }) })
 	leaving := 0
-	every(ctx, tickEvery, func() {
+	repeat(ctx, tickInterval, func() {
 		if now := len(p.node.view.Leaving()); now != leaving {
 			leaving = now
 			p.refresh()
@@ -221,8 +221,8 @@
 	polling.Wait()
 }
 
-// every calls do again and again, an interval after the last, until ctx ends.
-func every(ctx context.Context, interval time.Duration, do func()) {
+// repeat calls do repeatedly, with interval between the calls, until ctx is cancelled.
+func repeat(ctx context.Context, interval time.Duration, do func()) {
 	timer := time.NewTimer(interval)
 	defer timer.Stop()
 	for {
@@ -242,30 +242,30 @@
 	}
 }
 
-// poll asks the next few servers that have not been heard for a while.
+// poll polls the next few servers that have not reported recently.
 func (p *pools) poll(ctx context.Context) {
-	var asked sync.WaitGroup
-	for _, h := range p.due(time.Now()) {
-		asked.Go(func() { p.ask(ctx, h) })
+	var polls sync.WaitGroup
+	for _, h := range p.nextPolls(time.Now()) {
+		polls.Go(func() { p.pollServer(ctx, h) })
 	}
-	asked.Wait()
+	polls.Wait()
 }
 
-func (p *pools) due(now time.Time) []published.Host {
+func (p *pools) nextPolls(now time.Time) []published.Host {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var due []published.Host
-	for range p.order {
-		address := p.order[0]
-		p.order = append(p.order[1:], address)
+	for range p.pollOrder {
+		address := p.pollOrder[0]
+		p.pollOrder = append(p.pollOrder[1:], address)
 		if !p.isDue(address, now) {
 			continue
 		}
 		s := p.states[address]
-		s.asked = now
+		s.polledAt = now
 		p.states[address] = s
 		due = append(due, p.servers[address])
-		if len(due) == pollsAtOnce {
+		if len(due) == maxPollsPerTick {
 			break
 		}
 	}
@@ -275,42 +275,42 @@
 func (p *pools) isDue(address netip.AddrPort, now time.Time) bool {
 	role := p.servers[address].Role
 	s := p.states[address]
-	last := s.asked
-	if heard := p.heard[address]; role != published.RoleEngine && heard.After(last) {
-		last = heard
+	last := s.polledAt
+	if reportedAt := p.reportedAt[address]; role != published.RoleEngine && reportedAt.After(last) {
+		last = reportedAt
 	}
 	return now.Sub(last) >= s.interval(role)
 }
 
-// noteHeard notes that an answer has brought a report.
-func (p *pools) noteHeard(address netip.AddrPort) {
+// recordReport records that an answer included a load report.
+func (p *pools) recordReport(address netip.AddrPort) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.heard[address] = time.Now()
+	p.reportedAt[address] = time.Now()
 }
 
-func (p *pools) ask(ctx context.Context, h published.Host) {
-	ctx, cancel := context.WithTimeout(ctx, pollFor)
+func (p *pools) pollServer(ctx context.Context, h published.Host) {
+	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	state, err := p.node.backends.State(ctx, backend.Call{Server: h.Address})
 	if err != nil {
 		return
 	}
-	p.observeEngine(h, state)
+	p.observeState(h, state)
 	if h.Role == published.RoleEngine {
-		p.askCache(ctx, h, state.Instance)
+		p.readCacheEvents(ctx, h, state.Instance)
 	}
 }
 
-// cacheCursor is how far the cache events of one engine's run have been read.
+// cacheCursor is the position in the cache events of one engine instance.
 type cacheCursor struct {
 	instance string
 	after    uint64
 }
 
-// askCache reads an engine's cache events. They are late and have gaps, so what
-// they tell is a preference and no more.
-func (p *pools) askCache(ctx context.Context, h published.Host, instance string) {
+// readCacheEvents reads an engine's cache events. They arrive late and have gaps, so they are
+// only a preference when choosing a server.
+func (p *pools) readCacheEvents(ctx context.Context, h published.Host, instance string) {
 	p.mu.Lock()
 	cursor := p.cursors[h.Address]
 	pool := p.byName[h.Pool]
@@ -331,15 +331,15 @@
 	p.cursors[h.Address] = cursor
 }
 
-// observeEngine takes in a server's full report.
-func (p *pools) observeEngine(h published.Host, state protocol.EngineState) {
+// observeState applies the full report of a server.
+func (p *pools) observeState(h published.Host, state protocol.EngineState) {
 	p.mu.Lock()
 	before := p.states[h.Address].Instance
 	now := time.Now()
-	p.states[h.Address] = engineState{EngineState: state, asked: now, at: now}
+	p.states[h.Address] = engineState{EngineState: state, polledAt: now, answeredAt: now}
 	p.mu.Unlock()
 	if before != state.Instance {
-		// Whether the server counts as leaving depends on which run it is.
+		// Whether the server counts as leaving depends on its instance.
 		p.refresh()
 	}
 	p.observe(h, state.Load(), modelsOf(h, state))
@@ -358,29 +358,29 @@
 	return models
 }
 
-// observe takes in what a server said of itself.
+// observe applies the load report of a server.
 func (p *pools) observe(h published.Host, load protocol.Load, models map[string]bool) {
 	if load.Leaving {
 		p.node.NoteLeaving(h.Address, load.Instance)
 	}
-	if pool := p.of(h.Pool); pool != nil {
+	if pool := p.get(h.Pool); pool != nil {
 		pool.Observe(h.Address, load, models)
 	}
 }
 
-// state returns what an engine last said of itself.
+// state returns the last full report of an engine and when it arrived.
 func (p *pools) state(address netip.AddrPort) (protocol.EngineState, time.Time, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s, ok := p.states[address]
-	return s.EngineState, s.at, ok && s.Instance != ""
+	return s.EngineState, s.answeredAt, ok && s.Instance != ""
 }
 
-// NoteLeaving tells the whole fleet, by the next heartbeats, that a backend
-// server is leaving.
+// NoteLeaving records that a backend server is leaving; the next heartbeats spread it to the
+// whole fleet.
 func (n *Node) NoteLeaving(address netip.AddrPort, instance string) {
 	if n.view.MarkLeaving(time.Now(), fleet.LeavingServer{Address: address, Instance: instance}) {
-		n.log.WithField("server", address).Info("a backend server is leaving")
+		n.log.WithField("server", address).Info("backend server is leaving")
 		n.pools.refresh()
 	}
 }
--- a/internal/node/ready.go
+++ b/internal/node/ready.go
@@ -13,30 +13,30 @@
 )
 
 const (
-	tickEvery = 250 * time.Millisecond
-	// pausedAfter is the gap between two ticks that means that the process
-	// stood still, so that its view of the world may be old.
-	pausedAfter = 2 * time.Second
-	// consulted is how many peers a node compares with before it admits.
-	consulted = 3
+	tickInterval = 250 * time.Millisecond
+	// pauseThreshold is the gap between two ticks above which the process counts as paused, so
+	// that its view may be stale.
+	pauseThreshold = 2 * time.Second
+	// syncPeers is how many peers a node synchronises with before it admits requests.
+	syncPeers = 3
 	// watchersPerZone is how many nodes of a zone watch the platform.
 	watchersPerZone = 2
-	sweepEvery      = time.Second
+	sweepInterval   = time.Second
 )
 
-// readiness decides whether the node may admit. It may not before it has
-// compared with the platform and with peers, nor after a pause until it has
-// compared with peers again.
+// readiness decides whether the node may admit requests. It may not before it has synchronised
+// with the platform and with peers, nor after a pause until it has synchronised with peers
+// again.
 type readiness struct {
 	node *Node
-	// begun is set once the node has compared after its start, and recovering
-	// while it compares after a pause. Each has one writer: a pause amid the
-	// start must not undo what the start has reached.
-	begun      atomic.Bool
+	// started is set once the initial synchronisation is done, and recovering while the node
+	// synchronises after a pause. Each has a single writer: a pause during the start must not
+	// undo what the start has reached.
+	started    atomic.Bool
 	recovering atomic.Bool
-	// partial says that the node went ahead without one of the two.
+	// partial is set if the node went ahead without the platform or without peers.
 	partial atomic.Bool
-	// lastTick is when the process was last seen to run, from start.
+	// lastTick is when the process was last seen running, since start.
 	lastTick atomic.Int64
 	start    time.Time
 	pauses   atomic.Int64
@@ -46,52 +46,52 @@
 	return &readiness{node: n, start: time.Now()}
 }
 
-// ok reports whether the node may admit now. It also notices a pause that no
-// tick has noticed yet.
-func (r *readiness) ok() bool {
-	return r.begun.Load() && !r.recovering.Load() && !r.paused()
+// canAdmit reports whether the node may admit requests now. It also detects a pause that no
+// tick has detected yet.
+func (r *readiness) canAdmit() bool {
+	return r.started.Load() && !r.recovering.Load() && !r.paused()
 }
 
 func (r *readiness) paused() bool {
-	return time.Since(r.start)-time.Duration(r.lastTick.Load()) > pausedAfter
+	return time.Since(r.start)-time.Duration(r.lastTick.Load()) > pauseThreshold
 }
 
 func (r *readiness) run(ctx context.Context) {
 	r.lastTick.Store(int64(time.Since(r.start)))
-	begun := make(chan struct{})
+	started := make(chan struct{})
 	go func() {
-		defer close(begun)
-		r.begin(ctx)
+		defer close(started)
+		r.awaitStart(ctx)
 	}()
-	timer := time.NewTimer(tickEvery)
+	timer := time.NewTimer(tickInterval)
 	defer timer.Stop()
 	lastSweep := time.Now()
 	for {
 		select {
 		case <-ctx.Done():
-			<-begun
+			<-started
 			return
 		case <-timer.C:
 		}
-		if hold := r.node.options.BeforeTick; hold != nil {
-			hold()
+		if beforeTick := r.node.options.BeforeTick; beforeTick != nil {
+			beforeTick()
 		}
 		if r.paused() {
-			r.recover(ctx)
+			r.resync(ctx)
 		}
 		r.lastTick.Store(int64(time.Since(r.start)))
-		if time.Since(lastSweep) >= sweepEvery {
+		if time.Since(lastSweep) >= sweepInterval {
 			lastSweep = time.Now()
 			r.node.table.Sweep(lastSweep)
 			r.node.reportLoad()
 		}
-		timer.Reset(tickEvery)
+		timer.Reset(tickInterval)
 	}
 }
 
-// begin waits until the node has what the platform and its peers have, or
-// until one of them is enough.
-func (r *readiness) begin(ctx context.Context) {
+// awaitStart waits until the node has the values of the platform and its peers, or until
+// ReadyAfter has passed and it has those of one of them.
+func (r *readiness) awaitStart(ctx context.Context) {
 	n := r.node
 	deadline := time.NewTimer(n.settings.ReadyAfter)
 	defer deadline.Stop()
@@ -107,7 +107,7 @@
 		}
 	}()
 	defer func() { <-platformRead }()
-	patient := true
+	waiting := true
 	for ctx.Err() == nil {
 		read := false
 		select {
@@ -115,11 +115,11 @@
 			read = ctx.Err() == nil
 		default:
 		}
-		met := r.meetPeers(ctx)
+		synced := r.syncWithPeers(ctx)
 		alone := read && len(n.view.Members()) == 0
-		if read && (met || alone) || !patient && (read || met) {
-			r.partial.Store(!read || !met && !alone)
-			r.begun.Store(true)
+		if read && (synced || alone) || !waiting && (read || synced) {
+			r.partial.Store(!read || !synced && !alone)
+			r.started.Store(true)
 			n.log.WithField("partial", r.partial.Load()).Info("ready")
 			if !read {
 				<-platformRead
@@ -129,48 +129,48 @@
 		select {
 		case <-ctx.Done():
 		case <-deadline.C:
-			patient = false
-		case <-time.After(tickEvery / 2):
+			waiting = false
+		case <-time.After(tickInterval / 2):
 		}
 	}
 }
 
-func (r *readiness) meetPeers(ctx context.Context) bool {
+func (r *readiness) syncWithPeers(ctx context.Context) bool {
 	n := r.node
 	for _, seed := range n.settings.Seeds {
 		if n.gossip.Meet(ctx, seed) {
 			break
 		}
 	}
-	reached := n.gossip.Synchronise(ctx, consulted)
-	n.takeHosts()
+	reached := n.gossip.Synchronise(ctx, syncPeers)
+	n.applyHosts()
 	return reached > 0
 }
 
-// recover compares with peers after a pause. Nothing is admitted meanwhile.
-func (r *readiness) recover(ctx context.Context) {
+// resync synchronises with peers after a pause. Nothing is admitted meanwhile.
+func (r *readiness) resync(ctx context.Context) {
 	n := r.node
 	r.pauses.Add(1)
 	n.scope.Counter("pauses").Inc(1)
-	n.log.Warn("the process stood still; comparing with peers before admitting more")
+	n.log.Warn("process was paused; synchronising with peers before admitting requests")
 	r.recovering.Store(true)
 	defer r.recovering.Store(false)
 	n.view.Disturb(time.Now())
-	until := time.Now().Add(n.settings.ReadyAfter)
-	for ctx.Err() == nil && n.gossip.Synchronise(ctx, consulted) == 0 {
+	deadline := time.Now().Add(n.settings.ReadyAfter)
+	for ctx.Err() == nil && n.gossip.Synchronise(ctx, syncPeers) == 0 {
 		alone := len(n.view.Members()) == 0
-		if alone || time.Now().After(until) {
+		if alone || time.Now().After(deadline) {
 			r.partial.Store(!alone)
-			n.log.WithField("alone", alone).Warn("no peer answers; admitting all the same")
+			n.log.WithField("alone", alone).Warn("no peer answers; admitting requests without synchronisation")
 			break
 		}
-		wait(ctx, tickEvery)
+		sleep(ctx, tickInterval)
 	}
-	n.takeHosts()
+	n.applyHosts()
 }
 
-// mustWatch reports whether this node is one of those that watch the platform
-// for its zone. Nodes with different views may both watch, which does no harm.
+// mustWatch reports whether this node is elected to watch the platform for its zone. Nodes
+// with different views may both watch, which is harmless.
 func (n *Node) mustWatch(space publisher.Space) bool {
 	return peer.Elected(n.view, string(space), watchersPerZone)
 }
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -11,41 +11,41 @@
 	"github.com/wingvale/wingvale/internal/table"
 )
 
-// errMoved ends a request here that its caller can go on with elsewhere.
-var errMoved = errors.New("node: this host is leaving; go on at another from the last checkpoint")
+// errMoved ends a request that its caller can resume on another node.
+var errMoved = errors.New("node: this host is leaving; resume at another host from the last checkpoint")
 
 const (
-	announceTo = 8
-	// readersFor is how long readers of ended answers get to read the rest.
-	readersFor = 2 * time.Second
-	drainCheck = 20 * time.Millisecond
+	announceFanout = 8
+	// readersTimeout is how long callers have to read the rest of ended answers.
+	readersTimeout     = 2 * time.Second
+	drainCheckInterval = 20 * time.Millisecond
 )
 
-// drain is the planned stop. It tells the others first, still serves those who
-// come with old addresses, then admits nothing more, and waits for what runs:
-// for all of it until Drain has passed, then for what cannot move.
+// drain is the graceful stop. It announces the leave first, keeps serving callers with old
+// addresses for a while, then admits nothing more and waits for the running requests: for all
+// of them until Drain has passed, then for those that cannot move.
 func (n *Node) drain(ctx context.Context) {
 	n.log.Info("leaving")
 	n.view.Leave()
-	n.gossip.Announce(ctx, announceTo)
-	wait(ctx, n.settings.Announce)
-	n.refusing.Store(true)
-	patience, cancel := context.WithTimeout(ctx, n.settings.Drain)
+	n.gossip.Announce(ctx, announceFanout)
+	sleep(ctx, n.settings.Announce)
+	n.refusingNew.Store(true)
+	drainCtx, cancel := context.WithTimeout(ctx, n.settings.Drain)
 	defer cancel()
-	awaitEmpty(patience, n.table)
+	awaitEmpty(drainCtx, n.table)
 	for _, run := range n.table.Running() {
 		if run.Repeatable() {
 			n.scope.Counter("moved").Inc(1)
 			run.Cancel(errMoved)
 		}
 	}
-	// Those that are left cannot move, and end by their deadlines.
+	// The remaining requests cannot move, and end by their deadlines.
 	awaitEmpty(ctx, n.table)
 	n.awaitReaders(ctx)
 	n.log.Info("drained")
 }
 
-func wait(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -54,7 +54,7 @@
 	}
 }
 
-// awaitEmpty returns when nothing runs or ctx ends.
+// awaitEmpty returns when no requests run or ctx is cancelled.
 func awaitEmpty(ctx context.Context, t *table.Table) {
 	for ctx.Err() == nil {
 		running := t.Running()
@@ -68,11 +68,11 @@
 	}
 }
 
-// awaitReaders lets callers read the end of their answers.
+// awaitReaders waits for callers to read the end of their answers.
 func (n *Node) awaitReaders(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, readersFor)
+	ctx, cancel := context.WithTimeout(ctx, readersTimeout)
 	defer cancel()
 	for ctx.Err() == nil && n.table.Readers() > 0 {
-		wait(ctx, drainCheck)
+		sleep(ctx, drainCheckInterval)
 	}
 }
