--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The Wingvale Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package daemon runs one node as a process: its settings, logs, metrics,
-// sockets and signals.
+// Package daemon runs one node as a process, with its settings, logs, metrics, sockets and
+// signals.
 package daemon
 
 import (
@@ -27,11 +27,11 @@
 )
 
 const (
-	reportEvery = time.Second
-	prefix      = "wingvale"
+	reportInterval = time.Second
+	metricsPrefix  = "wingvale"
 )
 
-// Logger returns a logger as the settings ask.
+// Logger returns a logger configured by the settings.
 func Logger(s settings.Settings, out io.Writer) *logrus.Logger {
 	log := logrus.New()
 	log.SetOutput(out)
@@ -42,8 +42,8 @@
 	return log
 }
 
-// Run runs a node until SIGTERM or SIGINT has stopped it as planned, or a
-// second signal at once.
+// Run runs a node until SIGTERM or SIGINT has stopped it gracefully, or a second signal has
+// stopped it at once.
 func Run(s settings.Settings, out io.Writer) error {
 	log := Logger(s, out)
 	callers, err := listen(s.Caller)
@@ -54,7 +54,7 @@
 	if err != nil {
 		return err
 	}
-	scope, scraped, closer := Metrics()
+	scope, metricsHandler, closer := Metrics()
 	defer func() { _ = closer.Close() }()
 	n := node.New(node.Options{
 		Settings:       s,
@@ -63,18 +63,18 @@
 		Dial:           (&net.Dialer{}).DialContext,
 		CallerListener: callers,
 		PeerListener:   peers,
-		Metrics:        scraped,
+		Metrics:        metricsHandler,
 		Seed:           uint64(time.Now().UnixNano()),
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go await(n, cancel, log)
+	go awaitSignals(n, cancel, log)
 	log.WithFields(logrus.Fields{"caller": s.Caller, "peer": s.Peer, "zone": s.Zone}).Info("listening")
 	return n.Run(ctx)
 }
 
-// Metrics returns a scope and what serves its metrics to be scraped. The closer
-// must be closed.
+// Metrics returns a metrics scope and the handler that serves it to a scraper. The closer must
+// be closed.
 func Metrics() (tally.Scope, http.Handler, io.Closer) {
 	registry := prometheus.NewRegistry()
 	reporter := tallyprometheus.NewReporter(tallyprometheus.Options{
@@ -83,12 +83,12 @@
 		DefaultTimerType: tallyprometheus.HistogramTimerType,
 	})
 	scope, closer := tally.NewRootScope(tally.ScopeOptions{
-		Prefix:                 prefix,
+		Prefix:                 metricsPrefix,
 		CachedReporter:         reporter,
 		Separator:              tallyprometheus.DefaultSeparator,
 		SanitizeOptions:        &tallyprometheus.DefaultSanitizerOpts,
 		OmitCardinalityMetrics: true,
-	}, reportEvery)
+	}, reportInterval)
 	return scope, reporter.HTTPHandler(), closer
 }
 
@@ -100,8 +100,8 @@
 	return l, nil
 }
 
-// await stops the node at the first signal and ends it at the second.
-func await(n *node.Node, cancel context.CancelFunc, log logrus.FieldLogger) {
+// awaitSignals stops the node gracefully on the first signal and at once on the second.
+func awaitSignals(n *node.Node, cancel context.CancelFunc, log logrus.FieldLogger) {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	for range 2 {
@@ -109,7 +109,7 @@
 		case <-n.Done():
 			return
 		case s := <-signals:
-			log.WithField("signal", s.String()).Info("asked to stop")
+			log.WithField("signal", s.String()).Info("stop signal received")
 			if n.Leaving() {
 				cancel()
 				return
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -15,17 +15,17 @@
 	"github.com/wingvale/wingvale/internal/daemon"
 )
 
-// TestMetricsCanBeScraped failed when the registry refused a name of tally's
-// own, which ended the daemon at its start.
+// TestMetricsCanBeScraped guards against a registry that refuses one of tally's own metric
+// names, which terminated the daemon when it started.
 func TestMetricsCanBeScraped(t *testing.T) {
-	scope, scraped, closer := daemon.Metrics()
+	scope, metricsHandler, closer := daemon.Metrics()
 	scope.Tagged(map[string]string{"verdict": "not_run", "reason": "overload"}).Counter("refusals").Inc(3)
 	scope.SubScope("peer").Counter("heartbeats").Inc(1)
 	scope.Tagged(map[string]string{"stage": "encode"}).Timer("stage").Record(time.Millisecond)
-	// Closing reports what is left, so nothing waits for the reporter.
+	// Closing reports the remaining values, so there is no need to wait for the reporter.
 	assert.NilError(t, closer.Close())
 	w := httptest.NewRecorder()
-	scraped.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", http.NoBody))
+	metricsHandler.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", http.NoBody))
 	for _, want := range []string{`wingvale_refusals{reason="overload",verdict="not_run"} 3`, "wingvale_peer_heartbeats 1", `wingvale_stage_count{stage="encode"} 1`} {
 		assert.Assert(t, strings.Contains(w.Body.String(), want), "got %s, want %s", w.Body.String(), want)
 	}
--- a/internal/daemon/export_test.go
+++ b/internal/daemon/export_test.go
@@ -10,13 +10,13 @@
 	"github.com/wingvale/wingvale/platform"
 )
 
-// Reload reads the settings of a process again.
+// Reload reloads the settings of a process.
 func Reload(p *platform.Process, path string, old settings.Gateway, log *logrus.Logger) settings.Gateway {
 	return reload(p, path, old, log)
 }
 
-// EndsAtOnce is what a signal does to a process that is stopping.
-var EndsAtOnce = endsAtOnce
+// ForcesStop reports whether a signal stops a stopping process at once.
+var ForcesStop = forcesStop
 
-// LimitMemory makes the runtime keep to what the settings allow.
+// LimitMemory sets the memory limit of the runtime from the settings.
 var LimitMemory = limitMemory
--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -24,20 +24,21 @@
 )
 
 const (
-	// silentFor is how long sent bytes may stay unacknowledged before their
-	// connection is given up; the networks have round trips of milliseconds.
-	silentFor = 2 * time.Second
-	// logFor is how long the last log lines may take at the end.
-	logFor = 200 * time.Millisecond
-	// keepAliveProbes unanswered end a connection.
+	// unackedTimeout is how long sent data may remain unacknowledged before the connection is
+	// dropped; the round-trip times of the networks are milliseconds.
+	unackedTimeout = 2 * time.Second
+	// logFlushTimeout limits the time to write the last log lines on exit.
+	logFlushTimeout = 200 * time.Millisecond
+	// keepAliveProbes is the number of unanswered probes after which a connection is dropped.
 	keepAliveProbes = 2
 )
 
-// memoryShare of what a process may use is where garbage is collected more often: beyond all
-// of it the host ends the process. The rest is for stacks, connections and the program.
+// memoryShare is the share of the memory allowed for the process above which garbage is
+// collected more often: the host kills a process that exceeds all of it. The rest is for
+// stacks, connections and the program.
 const memoryShare = 0.7
 
-// limitMemory makes the runtime keep to what the settings allow.
+// limitMemory sets the memory limit of the runtime from the settings.
 func limitMemory(s settings.Gateway) {
 	if s.Memory > 0 {
 		debug.SetMemoryLimit(int64(memoryShare * s.Memory * bytesPerMegabyte))
@@ -46,9 +47,8 @@
 
 const bytesPerMegabyte = 1 << 20
 
-// RunGateway runs a node on the users' platform until SIGTERM or SIGINT has
-// stopped it as planned, or SIGINT during that at once. SIGHUP makes it read its
-// settings again.
+// RunGateway runs a node on the users' platform until SIGTERM or SIGINT has stopped it
+// gracefully; SIGINT during that stops it at once. SIGHUP reloads the settings.
 func RunGateway(path string, s settings.Gateway, out io.Writer) error {
 	lines := logging.NewWriter(out, logging.DefaultLines)
 	defer flush(lines)
@@ -57,14 +57,14 @@
 	log.SetLevel(s.LogLevel)
 	limitMemory(s)
 	log.SetFormatter(&logrus.JSONFormatter{TimestampFormat: "15:04:05.000"})
-	scope, scraped, closer := Metrics()
+	scope, metricsHandler, closer := Metrics()
 	defer func() { _ = closer.Close() }()
 	dialer := &net.Dialer{
-		Control:         setSilence,
+		Control:         setUserTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: keepAliveProbes},
 	}
 	listener := &net.ListenConfig{
-		Control:         setSilence,
+		Control:         setUserTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: 2 * time.Second, Interval: time.Second, Count: keepAliveProbes},
 	}
 	p := platform.New(platform.Options{
@@ -75,70 +75,69 @@
 		Listen: func(a netip.AddrPort) (net.Listener, error) {
 			return listener.Listen(context.Background(), "tcp", a.String())
 		},
-		Metrics: scraped,
+		Metrics: metricsHandler,
 		Seed:    rand.Uint64(),
 		Boot:    boot.Clock,
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go awaitGateway(p, path, s, cancel, log)
+	go awaitGatewaySignals(p, path, s, cancel, log)
 	log.WithFields(logrus.Fields{"node": s.Callers, "peer": s.Peer, "zone": s.Zone, "seeds": s.Seeds}).Info("started")
 	err := p.Run(ctx)
 	log.WithError(err).Info("stopped")
 	return err
 }
 
-// flush writes the last log lines, for as long as somebody reads.
+// flush writes the last log lines, waiting at most logFlushTimeout for a slow reader.
 func flush(lines *logging.Writer) {
 	lines.Close()
 	select {
 	case <-lines.Done():
-	case <-time.After(logFor):
+	case <-time.After(logFlushTimeout):
 	}
 }
 
-// setSilence bounds how long a connection waits for a peer that is silent.
-func setSilence(_, _ string, c syscall.RawConn) error {
-	var failed error
+// setUserTimeout limits how long a connection waits for a silent peer.
+func setUserTimeout(_, _ string, c syscall.RawConn) error {
+	var sockErr error
 	err := c.Control(func(fd uintptr) {
 		const tcpUserTimeout = 0x12
-		failed = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(silentFor.Milliseconds()))
+		sockErr = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(unackedTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return sockErr
 }
 
-// settingsEvery is how often the settings file is looked at: it may change
-// without a signal.
-const settingsEvery = 2 * time.Second
+// settingsInterval is how often the settings file is checked: it may change without a signal.
+const settingsInterval = 2 * time.Second
 
-// awaitGateway acts on signals and changed settings until the process ends.
-func awaitGateway(p *platform.Process, path string, s settings.Gateway, cancel context.CancelFunc, log *logrus.Logger) {
+// awaitGatewaySignals handles signals and changed settings until the process ends.
+func awaitGatewaySignals(p *platform.Process, path string, s settings.Gateway, cancel context.CancelFunc, log *logrus.Logger) {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
-	ticker := time.NewTicker(settingsEvery)
+	ticker := time.NewTicker(settingsInterval)
 	defer ticker.Stop()
-	changed := modified(path)
+	lastModTime := modTime(path)
 	stopping := false
 	for {
 		select {
 		case <-p.Done():
 			return
 		case <-ticker.C:
-			if at := modified(path); !at.Equal(changed) {
-				changed = at
+			if newModTime := modTime(path); !newModTime.Equal(lastModTime) {
+				lastModTime = newModTime
 				s = reload(p, path, s, log)
 			}
 		case received := <-signals:
-			log.WithField("signal", received.String()).Info("signal")
+			log.WithField("signal", received.String()).Info("signal received")
 			if received == syscall.SIGHUP {
-				changed = modified(path)
+				lastModTime = modTime(path)
 				s = reload(p, path, s, log)
 				continue
 			}
-			if endsAtOnce(received, stopping) {
+			if forcesStop(received, stopping) {
 				cancel()
 				return
 			}
@@ -148,16 +147,15 @@
 	}
 }
 
-// endsAtOnce reports whether a signal ends a process that is stopping. SIGTERM may
-// come again, and must not cut off what the planned stop finishes: the platform
-// kills where it does not wait.
-func endsAtOnce(received os.Signal, stopping bool) bool {
+// forcesStop reports whether a signal stops a stopping process at once. SIGTERM may be
+// repeated and must not cut off what the graceful stop finishes: a platform that does not wait
+// uses SIGKILL.
+func forcesStop(received os.Signal, stopping bool) bool {
 	return stopping && received == syscall.SIGINT
 }
 
-// modified returns when the file last changed, the zero time where that cannot
-// be told.
-func modified(path string) time.Time {
+// modTime returns the modification time of a file, or the zero time if it is unknown.
+func modTime(path string) time.Time {
 	info, err := os.Stat(path)
 	if err != nil {
 		return time.Time{}
@@ -165,17 +163,16 @@
 	return info.ModTime()
 }
 
-// reload reads the settings again and returns those in force. A file that is
-// wrong leaves the old ones in force; what cannot change while the process runs
-// is logged.
+// reload reloads the settings and returns those in force. If the file is invalid, the previous
+// settings stay in force. The log says whether a changed setting needs a restart.
 func reload(p *platform.Process, path string, old settings.Gateway, log *logrus.Logger) settings.Gateway {
 	s, err := settings.LoadGateway(path)
 	if err != nil {
-		log.WithError(err).Warn("settings not taken; the old ones stay in force")
+		log.WithError(err).Warn("settings rejected; the previous ones stay in force")
 		return old
 	}
 	log.SetLevel(s.LogLevel)
 	p.Reload(s)
-	log.WithField("restart_needed", s.NeedsRestart(old)).Info("settings read again")
+	log.WithField("restart_needed", s.NeedsRestart(old)).Info("settings reloaded")
 	return s
 }
--- a/internal/daemon/gateway_test.go
+++ b/internal/daemon/gateway_test.go
@@ -22,7 +22,7 @@
 	"github.com/wingvale/wingvale/platform"
 )
 
-const goodGateway = `[node]
+const validGateway = `[node]
 callers = 10.0.0.1:1
 entries = 10.0.0.1:2
 health = 10.0.0.1:3
@@ -35,12 +35,12 @@
 share = 0.2
 `
 
-// reloading has a process with good settings whose file changes to text; it
-// returns what is in force then, and what was logged.
-func reloading(t *testing.T, text string) (old, got settings.Gateway, logged string) {
+// reloadSettings starts a process with valid settings, changes its file to text and reloads
+// it. It returns the previous settings, those in force, and the log output.
+func reloadSettings(t *testing.T, text string) (old, got settings.Gateway, logged string) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "node.ini")
-	assert.NilError(t, os.WriteFile(path, []byte(goodGateway), 0o600))
+	assert.NilError(t, os.WriteFile(path, []byte(validGateway), 0o600))
 	old, err := settings.LoadGateway(path)
 	assert.NilError(t, err)
 	var out bytes.Buffer
@@ -53,34 +53,34 @@
 	return old, daemon.Reload(p, path, old, log), out.String()
 }
 
-func TestChangedSettingsAreTaken(t *testing.T) {
-	_, got, logged := reloading(t, strings.Replace(goodGateway, "0.2", "0.1", 1))
+func TestReloadAppliesChangedSettings(t *testing.T) {
+	_, got, logged := reloadSettings(t, strings.Replace(validGateway, "0.2", "0.1", 1))
 	assert.Equal(t, got.RetryShare, 0.1)
-	assert.Assert(t, strings.Contains(logged, "settings read again"), logged)
+	assert.Assert(t, strings.Contains(logged, "settings reloaded"), logged)
 	assert.Assert(t, strings.Contains(logged, "restart_needed=false"), logged)
 }
 
-func TestWhatNeedsARestartIsTold(t *testing.T) {
-	_, _, logged := reloading(t, strings.Replace(goodGateway, "zone = a", "zone = b", 1))
+func TestReloadLogsNeededRestart(t *testing.T) {
+	_, _, logged := reloadSettings(t, strings.Replace(validGateway, "zone = a", "zone = b", 1))
 	assert.Assert(t, strings.Contains(logged, "restart_needed=true"), logged)
 }
 
-func TestWrongSettingsLeaveTheOldOnesInForce(t *testing.T) {
-	wrong := strings.Replace(strings.Replace(goodGateway, "0.2", "20", 1), "10.0.0.1:3", "nowhere", 1) + "unknown = 1\n"
-	old, got, logged := reloading(t, wrong)
+func TestReloadKeepsOldSettingsIfFileIsInvalid(t *testing.T) {
+	wrong := strings.Replace(strings.Replace(validGateway, "0.2", "20", 1), "10.0.0.1:3", "nowhere", 1) + "unknown = 1\n"
+	old, got, logged := reloadSettings(t, wrong)
 	assert.DeepEqual(t, got.RetryShare, old.RetryShare)
 	assert.Equal(t, got.Health, old.Health)
-	assert.Assert(t, strings.Contains(logged, "settings not taken"), logged)
+	assert.Assert(t, strings.Contains(logged, "settings rejected"), logged)
 	for _, name := range []string{"share", "health", "unknown"} {
 		assert.Assert(t, strings.Contains(logged, name), "%s is not named in %s", name, logged)
 	}
 }
 
-// A second SIGTERM during a planned stop ended the process at once and reset
-// all callers whose requests were being finished.
-func TestASecondSIGTERMDoesNotEndAPlannedStop(t *testing.T) {
-	assert.Assert(t, !daemon.EndsAtOnce(syscall.SIGTERM, false))
-	assert.Assert(t, !daemon.EndsAtOnce(syscall.SIGTERM, true))
-	assert.Assert(t, !daemon.EndsAtOnce(syscall.SIGINT, false))
-	assert.Assert(t, daemon.EndsAtOnce(syscall.SIGINT, true))
+// A second SIGTERM during a graceful stop stopped the process at once and reset the
+// connections of all callers whose requests were being finished.
+func TestSecondSIGTERMDoesNotAbortGracefulStop(t *testing.T) {
+	assert.Assert(t, !daemon.ForcesStop(syscall.SIGTERM, false))
+	assert.Assert(t, !daemon.ForcesStop(syscall.SIGTERM, true))
+	assert.Assert(t, !daemon.ForcesStop(syscall.SIGINT, false))
+	assert.Assert(t, daemon.ForcesStop(syscall.SIGINT, true))
 }
--- a/internal/daemon/memory_test.go
+++ b/internal/daemon/memory_test.go
@@ -13,11 +13,11 @@
 	"github.com/wingvale/wingvale/internal/settings"
 )
 
-func TestTheRuntimeKeepsToTheMemoryOfTheSettings(t *testing.T) {
+func TestMemoryLimitFollowsSettings(t *testing.T) {
 	before := debug.SetMemoryLimit(-1)
 	defer debug.SetMemoryLimit(before)
 	daemon.LimitMemory(settings.Gateway{})
-	assert.Equal(t, debug.SetMemoryLimit(-1), before, "not told")
+	assert.Equal(t, debug.SetMemoryLimit(-1), before, "no limit is set")
 	daemon.LimitMemory(settings.Gateway{Memory: 200})
 	assert.Equal(t, debug.SetMemoryLimit(-1), int64(140<<20))
 }
