--- a/internal/settings/gateway.go
+++ b/internal/settings/gateway.go
@@ -15,54 +15,54 @@
 	"gopkg.in/ini.v1"
 )
 
-// Gateway are the settings of a node that relays opaque requests.
+// Gateway has the settings of a node that relays opaque requests.
 type Gateway struct {
-	// Callers is where callers send requests; it names the node.
+	// Callers is the address for requests of callers; it identifies the node.
 	Callers netip.AddrPort
-	// Entries is where callers ask for addresses, Health where it is asked
-	// whether the node is ready, Peer where the other nodes reach it, Metrics
-	// where metrics and the dump are read.
+	// Entries is the address where callers ask for addresses, Health that of the readiness
+	// check, Peer that for other nodes, and Metrics that of the metrics and the dump.
 	Entries netip.AddrPort
 	Health  netip.AddrPort
 	Peer    netip.AddrPort
 	Metrics netip.AddrPort
 	// Zone is the node's availability zone.
 	Zone string
-	// Regions has the region of each zone that is known.
+	// Regions maps availability zones to their regions.
 	Regions map[string]string
-	// Link is the host's bandwidth in Mbit/s and Cores its share of processors;
-	// 0 is not told.
+	// Link is the host's bandwidth in Mbit/s and Cores the number of cores available to the
+	// process; 0 means unknown.
 	Link  float64
 	Cores float64
-	// Memory is how many MB the process may use; 0 is not told.
+	// Memory is the memory that the process may use, in MB; 0 means unknown.
 	Memory float64
-	// Seeds are peer addresses to try first; they may be stale.
+	// Seeds are the peer addresses to contact first; they may be stale.
 	Seeds []netip.AddrPort
-	// Publisher is where configuration and backend servers are read.
+	// Publisher is the address from which the configuration and the backend servers are read.
 	Publisher netip.AddrPort
-	// ReadyAfter is how long a starting node waits for both the publisher and
-	// a peer before one of them is enough.
+	// ReadyAfter is how long a starting node waits for both the publisher and a peer before
+	// one of them is enough.
 	ReadyAfter time.Duration
-	// Hold is how long callers may keep an answer with addresses.
+	// Hold is how long callers may cache an answer with addresses.
 	Hold time.Duration
-	// Grace is how long a planned stop may take.
+	// Grace is how long a graceful stop may take.
 	Grace time.Duration
-	// RetryShare and RetryReserve bound the retries of all nodes together, as
-	// a share of requests and a number, in any RetryWindow.
+	// RetryShare and RetryReserve limit the retries of all nodes together in any RetryWindow,
+	// as a share of the requests plus a fixed number.
 	RetryShare   float64
 	RetryReserve float64
 	RetryWindow  time.Duration
-	// ColdOver times what a cold backend server bears a second, and ColdSlack, are
-	// the most requests that all nodes together may send it in any second.
+	// ColdOver and ColdSlack limit the requests that all nodes together may send to a cold
+	// backend server in any second: ColdOver times the rate that it can handle, plus
+	// ColdSlack.
 	ColdOver  float64
 	ColdSlack float64
-	// LogLevel says what is logged.
+	// LogLevel is the level of the log.
 	LogLevel logrus.Level
-	// ClockOffset is added to the time of day. It is in no file: tests set it.
+	// ClockOffset is added to the wall clock. It has no key in the file: tests set it.
 	ClockOffset time.Duration
 }
 
-// DefaultGateway returns settings without addresses.
+// DefaultGateway returns the default settings, without addresses.
 func DefaultGateway() Gateway {
 	return Gateway{
 		ReadyAfter:   2 * time.Second,
@@ -76,8 +76,8 @@
 	}
 }
 
-// LoadGateway reads and checks the file at path. The error joins one error for
-// each thing that is wrong.
+// LoadGateway reads and checks the file at path. The error joins one error for each invalid
+// setting.
 func LoadGateway(path string) (Gateway, error) {
 	file, err := ini.LoadSources(ini.LoadOptions{AllowShadows: true, SpaceBeforeInlineComment: true}, path)
 	if err != nil {
@@ -88,8 +88,7 @@
 	return g, r.read(func() error { return nil })
 }
 
-// NeedsRestart reports whether g differs from old in what a running node cannot
-// change.
+// NeedsRestart reports whether g differs from old in a setting that cannot change at run time.
 func (g Gateway) NeedsRestart(old Gateway) bool {
 	g.ClockOffset = old.ClockOffset
 	g.LogLevel, g.RetryShare, g.RetryReserve, g.RetryWindow = old.LogLevel, old.RetryShare, old.RetryReserve, old.RetryWindow
@@ -97,7 +96,7 @@
 }
 
 func (g *Gateway) keys() []key {
-	const longest = time.Hour
+	const maxDuration = time.Hour
 	return []key{
 		{section: "node", name: "callers", required: true, set: address(&g.Callers)},
 		{section: "node", name: "entries", required: true, set: address(&g.Entries)},
@@ -111,19 +110,19 @@
 		{section: "node", name: "memory-mb", set: amount(&g.Memory)},
 		{section: "node", name: "seeds", set: addresses(&g.Seeds)},
 		{section: "publisher", name: "address", required: true, set: address(&g.Publisher)},
-		{section: "publisher", name: "ready-after", set: duration(&g.ReadyAfter, 0, longest)},
-		{section: "callers", name: "hold", set: duration(&g.Hold, time.Second, longest)},
-		{section: "stop", name: "grace", set: duration(&g.Grace, time.Second, longest)},
+		{section: "publisher", name: "ready-after", set: duration(&g.ReadyAfter, 0, maxDuration)},
+		{section: "callers", name: "hold", set: duration(&g.Hold, time.Second, maxDuration)},
+		{section: "stop", name: "grace", set: duration(&g.Grace, time.Second, maxDuration)},
 		{section: "retries", name: "share", set: fraction(&g.RetryShare)},
 		{section: "retries", name: "reserve", set: amount(&g.RetryReserve)},
-		{section: "retries", name: "window", set: duration(&g.RetryWindow, time.Second, longest)},
+		{section: "retries", name: "window", set: duration(&g.RetryWindow, time.Second, maxDuration)},
 		{section: "cold", name: "over", set: amount(&g.ColdOver)},
 		{section: "cold", name: "slack", set: amount(&g.ColdSlack)},
 		{section: "log", name: "level", set: level(&g.LogLevel)},
 	}
 }
 
-// pairs reads NAME=VALUE, by commas.
+// pairs parses a comma-separated list of NAME=VALUE.
 func pairs(target *map[string]string) func(string) error {
 	return func(text string) error {
 		read := make(map[string]string)
@@ -133,7 +132,7 @@
 		for part := range strings.SplitSeq(text, ",") {
 			name, value, ok := strings.Cut(strings.TrimSpace(part), "=")
 			if !ok || name == "" || value == "" {
-				return fmt.Errorf("want NAME=VALUE by commas, not %q", part)
+				return fmt.Errorf("want a comma-separated list of NAME=VALUE, got %q", part)
 			}
 			read[name] = value
 		}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -17,41 +17,41 @@
 	"github.com/wingvale/wingvale/pipeline"
 )
 
-// Settings are those of one node.
+// Settings has the settings of one node.
 type Settings struct {
-	// Caller is where callers reach the node; it names it.
+	// Caller is the address for callers; it identifies the node.
 	Caller netip.AddrPort
-	// Peer is where other nodes and operators reach it.
+	// Peer is the address for other nodes and operators.
 	Peer netip.AddrPort
 	// Zone is the node's availability zone.
 	Zone string
-	// Platform has the configuration service's addresses, at least one.
+	// Platform has the addresses of the configuration service, at least one.
 	Platform []netip.AddrPort
-	// Seeds are peer addresses to try while the platform does not answer.
+	// Seeds are the peer addresses to contact while the platform does not answer.
 	Seeds []netip.AddrPort
-	// ReadyAfter is how long a starting node waits for both the platform and
-	// a peer, before one of them is enough.
+	// ReadyAfter is how long a starting node waits for both the platform and a peer before one
+	// of them is enough.
 	ReadyAfter time.Duration
-	// Hold is how long callers may keep an answer with addresses.
+	// Hold is how long callers may cache an answer with addresses.
 	Hold time.Duration
-	// MaxRunning bounds the requests that run at once.
+	// MaxRunning limits the concurrent requests.
 	MaxRunning int
-	// Subset bounds the backend servers of one pool that the node uses.
+	// Subset limits the backend servers of one pool that the node uses.
 	Subset int
-	// MaxCallers bounds the open connections of callers.
+	// MaxCallers limits the open connections of callers.
 	MaxCallers int
-	// Announce is how long a stopping node still admits, after it has told the
-	// others that it leaves.
+	// Announce is how long a stopping node still admits requests after it has announced to its
+	// peers that it is leaving.
 	Announce time.Duration
-	// Drain is how long a stopping node waits for requests that could go on
-	// at another node. It waits for the others to their deadline.
+	// Drain is how long a stopping node waits for requests that could be resumed at another
+	// node. It waits for all others until their deadline.
 	Drain time.Duration
-	// LogLevel and LogJSON say what is logged and how.
+	// LogLevel and LogJSON are the level and the format of the log.
 	LogLevel logrus.Level
 	LogJSON  bool
 }
 
-// Default returns settings without addresses.
+// Default returns the default settings, without addresses.
 func Default() Settings {
 	return Settings{
 		Zone:       "",
@@ -66,8 +66,7 @@
 	}
 }
 
-// Load reads and checks the file at path. The error joins one error for each
-// thing that is wrong.
+// Load reads and checks the file at path. The error joins one error for each invalid setting.
 func Load(path string) (Settings, error) {
 	file, err := ini.LoadSources(ini.LoadOptions{AllowShadows: true, SpaceBeforeInlineComment: true}, path)
 	if err != nil {
@@ -75,10 +74,10 @@
 	}
 	s := Default()
 	r := newReader(path, file, s.keys())
-	return s, r.read(s.contradictions)
+	return s, r.read(s.checkConsistency)
 }
 
-// keys lists every key there is, with where its value goes.
+// keys returns all keys, each with the function that sets its value.
 func (s *Settings) keys() []key {
 	return []key{
 		{section: "node", name: "caller", required: true, set: address(&s.Caller)},
@@ -98,10 +97,10 @@
 	}
 }
 
-func (s *Settings) contradictions() error {
+func (s *Settings) checkConsistency() error {
 	var errs []error
 	if s.Caller.IsValid() && s.Caller == s.Peer {
-		errs = append(errs, fmt.Errorf("[node] caller and peer are both %s: give each an address of its own", s.Caller))
+		errs = append(errs, fmt.Errorf("[node] caller and peer are both %s, but must differ", s.Caller))
 	}
 	if slices.Contains(s.Platform, s.Caller) && s.Caller.IsValid() {
 		errs = append(errs, fmt.Errorf("[platform] addresses contains the node's own address %s", s.Caller))
@@ -126,20 +125,20 @@
 	return &reader{path: path, file: file, keys: keys}
 }
 
-func (r *reader) read(contradictions func() error) error {
-	errs := r.unknown()
+func (r *reader) read(checkConsistency func() error) error {
+	errs := r.unknownKeys()
 	for _, k := range r.keys {
-		if err := r.one(k); err != nil {
+		if err := r.readKey(k); err != nil {
 			errs = append(errs, err)
 		}
 	}
-	if err := contradictions(); err != nil {
+	if err := checkConsistency(); err != nil {
 		errs = append(errs, fmt.Errorf("%s: %w", r.path, err))
 	}
 	return errors.Join(errs...)
 }
 
-func (r *reader) one(k key) error {
+func (r *reader) readKey(k key) error {
 	section := r.file.Section(k.section)
 	if !section.HasKey(k.name) {
 		if k.required {
@@ -149,7 +148,7 @@
 	}
 	values := section.Key(k.name).ValueWithShadows()
 	if len(values) > 1 {
-		return fmt.Errorf("%s: [%s] %s stands %d times", r.path, k.section, k.name, len(values))
+		return fmt.Errorf("%s: [%s] %s is set %d times", r.path, k.section, k.name, len(values))
 	}
 	text := section.Key(k.name).String()
 	if err := k.set(text); err != nil {
@@ -158,7 +157,7 @@
 	return nil
 }
 
-func (r *reader) unknown() []error {
+func (r *reader) unknownKeys() []error {
 	known := make(map[string]bool)
 	for _, k := range r.keys {
 		known[k.section+"/"+k.name] = true
@@ -167,19 +166,19 @@
 	var errs []error
 	for _, section := range r.file.Sections() {
 		if section.Name() != ini.DefaultSection && !known[section.Name()] {
-			errs = append(errs, fmt.Errorf("%s: [%s] is no section; the sections are %s", r.path, section.Name(), r.sections()))
+			errs = append(errs, fmt.Errorf("%s: [%s] is an unknown section; the known sections are %s", r.path, section.Name(), r.sectionNames()))
 			continue
 		}
 		for _, k := range section.Keys() {
 			if !known[section.Name()+"/"+k.Name()] {
-				errs = append(errs, fmt.Errorf("%s: [%s] %s is no key", r.path, section.Name(), k.Name()))
+				errs = append(errs, fmt.Errorf("%s: [%s] %s is an unknown key", r.path, section.Name(), k.Name()))
 			}
 		}
 	}
 	return errs
 }
 
-func (r *reader) sections() string {
+func (r *reader) sectionNames() string {
 	var names []string
 	for _, k := range r.keys {
 		if !slices.Contains(names, k.section) {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -15,7 +15,7 @@
 	"github.com/wingvale/wingvale/internal/settings"
 )
 
-const good = "[node]\ncaller = 10.0.0.1:7000\npeer = 10.0.0.1:8000\nzone = a\n[platform]\naddresses = 10.0.0.9:9000, 10.0.0.8:9000\n"
+const validSettings = "[node]\ncaller = 10.0.0.1:7000\npeer = 10.0.0.1:8000\nzone = a\n[platform]\naddresses = 10.0.0.9:9000, 10.0.0.8:9000\n"
 
 func load(t *testing.T, text string) (settings.Settings, error) {
 	t.Helper()
@@ -24,27 +24,27 @@
 	return settings.Load(path)
 }
 
-func TestGoodSettings(t *testing.T) {
-	s, err := load(t, good+"[stop]\nannounce = 1s\n")
+func TestLoadValidSettings(t *testing.T) {
+	s, err := load(t, validSettings+"[stop]\nannounce = 1s\n")
 	assert.NilError(t, err)
 	assert.Equal(t, s.Announce, time.Second)
 	assert.Equal(t, len(s.Platform), 2)
 	assert.Equal(t, s.Hold, settings.Default().Hold)
 }
 
-func TestEveryFaultIsNamed(t *testing.T) {
+func TestLoadReportsEveryInvalidSetting(t *testing.T) {
 	cases := []struct {
 		name string
 		text string
 		want []string
 	}{
 		{"all that is missing", "", []string{"[node] caller is missing", "[node] peer is missing", "[node] zone is missing", "[platform] addresses is missing"}},
-		{"an unknown key and section", good + "[stop]\nanounce = 1s\n[stops]\na = 1\n", []string{"[stop] anounce is no key", "[stops] is no section"}},
-		{"a time without its unit", good + "[stop]\nannounce = 3\n", []string{`[stop] announce = "3": want a time with its unit`}},
-		{"out of range", good + "[limits]\nsubset = 0\nmax-running = many\n", []string{"[limits] subset", "1 to 4096", "[limits] max-running"}},
-		{"a name for an address", strings.Replace(good, "10.0.0.1:7000", "host:7000", 1), []string{"want an IP number and a port"}},
-		{"a contradiction", strings.Replace(good, "10.0.0.1:8000", "10.0.0.1:7000", 1), []string{"caller and peer are both"}},
-		{"a key twice", good + "[log]\nlevel = info\nlevel = debug\n", []string{"[log] level stands 2 times"}},
+		{"an unknown key and section", validSettings + "[stop]\nanounce = 1s\n[stops]\na = 1\n", []string{"[stop] anounce is an unknown key", "[stops] is an unknown section"}},
+		{"a time without its unit", validSettings + "[stop]\nannounce = 3\n", []string{`[stop] announce = "3": want a duration with a unit`}},
+		{"out of range", validSettings + "[limits]\nsubset = 0\nmax-running = many\n", []string{"[limits] subset", "1 to 4096", "[limits] max-running"}},
+		{"a name for an address", strings.Replace(validSettings, "10.0.0.1:7000", "host:7000", 1), []string{"want an IP address and a port"}},
+		{"a contradiction", strings.Replace(validSettings, "10.0.0.1:8000", "10.0.0.1:7000", 1), []string{"caller and peer are both"}},
+		{"a key twice", validSettings + "[log]\nlevel = info\nlevel = debug\n", []string{"[log] level is set 2 times"}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/settings/standin.go
+++ b/internal/settings/standin.go
@@ -12,17 +12,17 @@
 	"gopkg.in/ini.v1"
 )
 
-// Standin are the settings of the stand-ins.
+// Standin has the settings of the stand-ins.
 type Standin struct {
-	// Site names an example site.
+	// Site is the name of an example site.
 	Site string
-	// Work is how long one call takes, Token the time between two tokens.
+	// Work is the duration of one call, Token the time between two tokens.
 	Work  time.Duration
 	Token time.Duration
-	// Fail is the share of calls that fail.
+	// Fail is the share of calls that fail, from 0 to 1.
 	Fail float64
-	// Nodes is how many daemons get a line on the host list, and settings in
-	// Folder.
+	// Nodes is the number of daemons that get an entry in the host list, and a settings file
+	// in Folder.
 	Nodes  int
 	Folder string
 }
@@ -53,7 +53,7 @@
 	return func(text string) error {
 		x, err := strconv.ParseFloat(text, 64)
 		if err != nil || x < 0 || x > 1 {
-			return errors.New("want a share, 0 to 1")
+			return errors.New("want a share from 0 to 1")
 		}
 		*target = x
 		return nil
--- a/internal/settings/value.go
+++ b/internal/settings/value.go
@@ -14,7 +14,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-var errAddress = errors.New("want an IP number and a port, as in 10.0.0.1:7000")
+var errAddress = errors.New("want an IP address and a port, as in 10.0.0.1:7000")
 
 func address(target *netip.AddrPort) func(string) error {
 	return func(text string) error {
@@ -33,7 +33,7 @@
 		for part := range strings.SplitSeq(text, ",") {
 			var a netip.AddrPort
 			if err := address(&a)(strings.TrimSpace(part)); err != nil {
-				return fmt.Errorf("%q: %w, several split by commas", part, err)
+				return fmt.Errorf("%q: %w; separate several addresses by commas", part, err)
 			}
 			list = append(list, a)
 		}
@@ -42,22 +42,22 @@
 	}
 }
 
-func duration(target *time.Duration, least, most time.Duration) func(string) error {
+func duration(target *time.Duration, minimum, maximum time.Duration) func(string) error {
 	return func(text string) error {
 		d, err := time.ParseDuration(text)
-		if err != nil || d < least || d > most {
-			return fmt.Errorf("want a time with its unit, %v to %v", least, most)
+		if err != nil || d < minimum || d > maximum {
+			return fmt.Errorf("want a duration with a unit, from %v to %v", minimum, maximum)
 		}
 		*target = d
 		return nil
 	}
 }
 
-func number(target *int, least, most int) func(string) error {
+func number(target *int, minimum, maximum int) func(string) error {
 	return func(text string) error {
 		n, err := strconv.Atoi(text)
-		if err != nil || n < least || n > most {
-			return fmt.Errorf("want a whole number, %d to %d", least, most)
+		if err != nil || n < minimum || n > maximum {
+			return fmt.Errorf("want an integer from %d to %d", minimum, maximum)
 		}
 		*target = n
 		return nil
