--- a/internal/boot/boot_test.go
+++ b/internal/boot/boot_test.go
@@ -11,7 +11,7 @@
 	"github.com/wingvale/wingvale/internal/boot"
 )
 
-func TestTheClockIsThereAndNeverGoesBack(t *testing.T) {
+func TestClockIsAvailableAndMonotonic(t *testing.T) {
 	before := boot.Clock()
 	assert.Assert(t, before > 0)
 	for range 1000 {
