--- a/internal/logging/writer.go
+++ b/internal/logging/writer.go
@@ -1,9 +1,8 @@
 // Copyright 2026 The Wingvale Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package logging writes log lines without ever holding up who logs: lines wait
-// in a bounded buffer, and where the reader stands still, they are dropped and
-// counted.
+// Package logging writes log lines without blocking the caller: lines are queued in a bounded
+// buffer, and dropped and counted while the buffer is full because its reader has stalled.
 package logging
 
 import (
@@ -12,32 +11,31 @@
 	"sync"
 )
 
-// DefaultLines bounds the lines that wait; at some 300 bytes a line they take
-// less than half a megabyte.
+// DefaultLines limits the queued lines; at some 300 bytes a line they use less than half a
+// megabyte.
 const DefaultLines = 1024
 
-// Writer is an io.Writer that takes whole lines and never blocks. Close must be
-// called once.
+// Writer is an io.Writer for whole lines that never blocks. Close must be called once.
 type Writer struct {
 	out   io.Writer
 	lines chan []byte
 	done  chan struct{}
 
 	mu sync.Mutex
-	// dropped counts the lines lost since the last that was written.
-	dropped int
-	total   int64
-	closed  bool
+	// dropped counts the lines dropped since the last line that was written.
+	dropped      int
+	totalDropped int64
+	closed       bool
 }
 
-// NewWriter returns a writer to out that holds at most lines lines.
+// NewWriter returns a writer to out that queues at most lines lines.
 func NewWriter(out io.Writer, lines int) *Writer {
 	w := &Writer{out: out, lines: make(chan []byte, lines), done: make(chan struct{})}
 	go w.run()
 	return w
 }
 
-// Write takes one line. It never fails.
+// Write queues one line, or drops it if the buffer is full. It never fails.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -48,30 +46,30 @@
 	case w.lines <- append([]byte(nil), line...):
 	default:
 		w.dropped++
-		w.total++
+		w.totalDropped++
 	}
 	return len(line), nil
 }
 
-// Dropped returns how many lines were lost.
+// Dropped returns how many lines were dropped.
 func (w *Writer) Dropped() int64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.total
+	return w.totalDropped
 }
 
 func (w *Writer) run() {
 	defer close(w.done)
 	for line := range w.lines {
-		if n := w.takeDropped(); n > 0 {
-			// There is nobody to tell that standard output is gone.
+		if n := w.resetDropped(); n > 0 {
+			// Errors are ignored: there is nowhere to report that standard output is closed.
 			_, _ = fmt.Fprintf(w.out, "{\"level\":\"warning\",\"msg\":\"log lines dropped\",\"lines\":%d}\n", n)
 		}
 		_, _ = w.out.Write(line)
 	}
 }
 
-func (w *Writer) takeDropped() int {
+func (w *Writer) resetDropped() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	n := w.dropped
@@ -79,7 +77,7 @@
 	return n
 }
 
-// Close takes no more lines. Done tells when those that wait are written.
+// Close stops accepting lines. Done is closed when the queued lines are written.
 func (w *Writer) Close() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -89,7 +87,7 @@
 	}
 }
 
-// Done is closed when all lines are written.
+// Done returns a channel that is closed when all lines are written.
 func (w *Writer) Done() <-chan struct{} {
 	return w.done
 }
--- a/internal/logging/writer_test.go
+++ b/internal/logging/writer_test.go
@@ -17,14 +17,14 @@
 	"github.com/wingvale/wingvale/internal/logging"
 )
 
-// reader takes lines only while it is not stopped.
-type reader struct {
+// blockedWriter blocks writes until gate is closed.
+type blockedWriter struct {
 	mu   sync.Mutex
 	gate chan struct{}
 	got  bytes.Buffer
 }
 
-func (r *reader) Write(line []byte) (int, error) {
+func (r *blockedWriter) Write(line []byte) (int, error) {
 	<-r.gate
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -33,21 +33,21 @@
 
 var dropped = regexp.MustCompile(`"msg":"log lines dropped","lines":(\d+)`)
 
-// told adds up the losses that the lines tell of.
-func told(t *testing.T, lines string) int64 {
+// reportedDrops sums the dropped lines reported in the output.
+func reportedDrops(t *testing.T, lines string) int64 {
 	t.Helper()
-	var total int64
+	var totalDropped int64
 	for _, m := range dropped.FindAllStringSubmatch(lines, -1) {
 		n, err := strconv.ParseInt(m[1], 10, 64)
 		assert.NilError(t, err)
-		total += n
+		totalDropped += n
 	}
-	return total
+	return totalDropped
 }
 
-func TestAReaderThatStandsStillHoldsNobodyUp(t *testing.T) {
+func TestStalledReaderDoesNotBlockWrites(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := &reader{gate: make(chan struct{})}
+		r := &blockedWriter{gate: make(chan struct{})}
 		w := logging.NewWriter(r, 8)
 		for range 1000 {
 			n, err := w.Write([]byte("line\n"))
@@ -61,13 +61,13 @@
 		<-w.Done()
 		got := r.got.String()
 		assert.Equal(t, int64(strings.Count(got, "line\n"))+w.Dropped(), int64(1000))
-		assert.Equal(t, told(t, got), w.Dropped(), "all losses are told: %q", got)
+		assert.Equal(t, reportedDrops(t, got), w.Dropped(), "all dropped lines are reported: %q", got)
 		_, err := w.Write([]byte("after the end"))
 		assert.NilError(t, err)
 	})
 }
 
-func TestLinesComeInOrder(t *testing.T) {
+func TestLinesAreWrittenInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
 		w := logging.NewWriter(&out, 8)
