--- a/internal/protocol/doc.go
+++ b/internal/protocol/doc.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The Wingvale Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package protocol has what wingvale and the backend servers say to each other:
-// headers, paths, and the bodies of calls and answers, which check themselves.
-// docs/BACKENDS.md describes the protocol for those who see no code.
+// Package protocol defines the protocols between wingvale and the backend servers: headers,
+// paths, and the bodies of calls and answers with their checks. docs/BACKENDS.md describes the
+// protocols for implementers of backend servers.
 package protocol
--- a/internal/protocol/engine.go
+++ b/internal/protocol/engine.go
@@ -10,7 +10,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// EngineState is an engine's full load report.
+// EngineState is the full load report of an engine.
 type EngineState struct {
 	Instance string   `json:"instance"`
 	Running  int      `json:"running"`
@@ -19,19 +19,19 @@
 	Leaving  bool     `json:"leaving"`
 	Models   []Loaded `json:"models,omitempty"`
 	Role     string   `json:"role,omitempty"`
-	// Fence is the highest that the engine has accepted.
+	// Fence is the highest fence that the engine has accepted.
 	Fence uint64 `json:"fence"`
-	// MemoryBytes and UsedBytes are what models share.
+	// MemoryBytes is the memory for all models, and UsedBytes what they use of it.
 	MemoryBytes int64 `json:"memory_bytes,omitempty"`
 	UsedBytes   int64 `json:"used_bytes,omitempty"`
 }
 
-// Loaded is one model that an engine holds.
+// Loaded is one model that an engine has loaded or is loading.
 type Loaded struct {
 	Model    string   `json:"model"`
 	Version  string   `json:"version"`
 	Adapters []string `json:"adapters,omitempty"`
-	// Ready is false while the weights are still coming.
+	// Ready is false while the weights are being loaded.
 	Ready bool `json:"ready"`
 }
 
@@ -40,25 +40,25 @@
 	return Load{Instance: s.Instance, Running: s.Running, Waiting: s.Waiting, Slots: s.Slots, Leaving: s.Leaving}
 }
 
-// CacheEvent says that an engine has stored a prompt's prefix, or dropped it.
+// CacheEvent reports that an engine has stored or evicted a prompt prefix.
 type CacheEvent struct {
-	// Sequence grows by one from event to event of one instance.
+	// Sequence increases by one with each event of an instance.
 	Sequence uint64 `json:"seq"`
-	// Stored is false where the prefix was dropped.
+	// Stored is false if the prefix was evicted.
 	Stored bool `json:"stored"`
-	// Prefix names the prefix, as PrefixOf does.
+	// Prefix identifies the prefix; see PrefixOf.
 	Prefix uint64 `json:"prefix,string"`
 }
 
-// CacheEvents answers what happened after a sequence number. Events may be
-// late, and some may be missing.
+// CacheEvents is the answer to a request for the events after a sequence number. Events may be
+// delayed or missing.
 type CacheEvents struct {
 	Events []CacheEvent `json:"events"`
-	// Next is the sequence number to ask after next.
+	// Next is the sequence number after which to ask next.
 	Next uint64 `json:"next"`
 }
 
-// Check bounds the events.
+// Check checks the number of events.
 func (e CacheEvents) Check() error {
 	if len(e.Events) > maxCacheEvents {
 		return fmt.Errorf("protocol: %d cache events, at most %d are allowed", len(e.Events), maxCacheEvents)
@@ -68,9 +68,9 @@
 
 const maxCacheEvents = 4096
 
-// PrefixOf names the prefix of a prompt: the XXH64 of the model, a zero byte,
-// the adapter, a zero byte, and the prompt's first line with its line end. A
-// prompt without a line end has none, and 0 is returned.
+// PrefixOf returns the identifier of a prompt's prefix: the XXH64 of the model, a zero byte,
+// the adapter, a zero byte, and the first line of the prompt including its line end. It
+// returns 0 for a prompt without a line end, which has no prefix.
 func PrefixOf(model, adapter, prompt string) uint64 {
 	end := strings.IndexByte(prompt, '\n')
 	if end < 0 {
@@ -79,7 +79,7 @@
 	return xxhash.Sum64String(model + "\x00" + adapter + "\x00" + prompt[:end+1])
 }
 
-// Action is what an order asks an engine to do.
+// Action is the action that an order asks of an engine.
 type Action string
 
 // Actions of orders.
@@ -91,9 +91,9 @@
 
 // Order is a fenced order to an engine.
 type Order struct {
-	// Fence must be higher than the engine's highest.
+	// Fence must be higher than the highest fence that the engine has accepted.
 	Fence uint64 `json:"fence"`
-	// Owner is the node that orders.
+	// Owner is the node that sends the order.
 	Owner    string   `json:"owner"`
 	Action   Action   `json:"action"`
 	Model    string   `json:"model,omitempty"`
--- a/internal/protocol/protocol.go
+++ b/internal/protocol/protocol.go
@@ -16,18 +16,18 @@
 
 // Headers of the backend protocols.
 const (
-	// HeaderRequest, HeaderStage and HeaderAttempt name the call; the server
-	// echoes them, and an answer that does not is dropped.
+	// HeaderRequest, HeaderStage and HeaderAttempt identify the call. The server echoes them,
+	// and an answer that does not match is discarded.
 	HeaderRequest = "Wingvale-Request"
 	HeaderStage   = "Wingvale-Stage"
 	HeaderAttempt = "Wingvale-Attempt"
-	// HeaderDeadline is the time left, in whole milliseconds.
+	// HeaderDeadline is the remaining time in whole milliseconds.
 	HeaderDeadline = "Wingvale-Deadline-Ms"
-	// HeaderStream names the stream that an engine's answer belongs to.
+	// HeaderStream identifies the stream that an engine's answer belongs to.
 	HeaderStream = "Wingvale-Stream"
-	// HeaderNotStarted is "true" on a refusal of a call that did not start.
+	// HeaderNotStarted is "true" in the refusal of a call that was not started.
 	HeaderNotStarted = "Wingvale-Not-Started"
-	// HeaderLoad is the server's load report.
+	// HeaderLoad is the load report of the server.
 	HeaderLoad = "Wingvale-Load"
 )
 
@@ -41,23 +41,23 @@
 	PathCacheEvents = "/v1/cache-events"
 )
 
-// MaxResultBytes bounds the result of one stage.
+// MaxResultBytes limits the result of one stage.
 const MaxResultBytes = 1 << 20
 
-// Load is what a backend server says of itself.
+// Load is the load report of a backend server.
 type Load struct {
-	// Instance names this run of the server.
+	// Instance identifies this run of the server.
 	Instance string
-	// Running calls are worked on, Waiting ones are not yet.
+	// Running is the number of calls being processed, Waiting that of queued calls.
 	Running int
 	Waiting int
-	// Slots is how many calls the server works on at once.
+	// Slots is how many calls the server processes concurrently.
 	Slots int
-	// Leaving says that the server wants no new work.
+	// Leaving is set if the server accepts no new work.
 	Leaving bool
 }
 
-// Marshal returns the header's form: a dictionary of RFC 9651.
+// Marshal returns the value of the header: a structured field dictionary (RFC 9651).
 func (l Load) Marshal() string {
 	d := httpsfv.NewDictionary()
 	d.Add("running", httpsfv.NewItem(int64(l.Running)))
@@ -72,11 +72,11 @@
 	return text
 }
 
-// maxLoad keeps a reported number from being taken at any size.
+// maxLoad caps the numbers in a report.
 const maxLoad = 1 << 20
 
-// ParseLoad reads the header's form. It reports false where it is missing or
-// malformed, which costs quality and never a promise.
+// ParseLoad parses the load header. It returns false if the header is missing or malformed,
+// which degrades scheduling but never correctness.
 func ParseLoad(header http.Header) (Load, bool) {
 	values := header.Values(HeaderLoad)
 	if len(values) != 1 {
@@ -87,18 +87,18 @@
 		return Load{}, false
 	}
 	l := Load{
-		Running: number(d, "running"),
-		Waiting: number(d, "waiting"),
-		Slots:   number(d, "slots"),
+		Running: loadNumber(d, "running"),
+		Waiting: loadNumber(d, "waiting"),
+		Slots:   loadNumber(d, "slots"),
 	}
-	if item, ok := member(d, "instance").(string); ok && len(item) <= pipeline.MaxNameBytes {
+	if item, ok := itemValue(d, "instance").(string); ok && len(item) <= pipeline.MaxNameBytes {
 		l.Instance = item
 	}
-	l.Leaving, _ = member(d, "leaving").(bool)
+	l.Leaving, _ = itemValue(d, "leaving").(bool)
 	return l, true
 }
 
-func member(d *httpsfv.Dictionary, name string) any {
+func itemValue(d *httpsfv.Dictionary, name string) any {
 	m, ok := d.Get(name)
 	if !ok {
 		return nil
@@ -110,8 +110,8 @@
 	return item.Value
 }
 
-func number(d *httpsfv.Dictionary, name string) int {
-	n, _ := member(d, name).(int64)
+func loadNumber(d *httpsfv.Dictionary, name string) int {
+	n, _ := itemValue(d, name).(int64)
 	return int(min(max(n, 0), maxLoad))
 }
 
@@ -121,15 +121,15 @@
 	Stage     string     `json:"stage"`
 	Attempt   int        `json:"attempt"`
 	Workspace string     `json:"workspace"`
-	// Input is the caller's text.
+	// Input is the input of the caller.
 	Input string `json:"input"`
-	// Previous is the result of the stage before, or absent.
+	// Previous is the result of the previous stage; absent for the first stage.
 	Previous json.RawMessage `json:"previous,omitempty"`
-	// Unrepeatable says that the call is never sent again.
+	// Unrepeatable is set if the call is never sent again.
 	Unrepeatable bool `json:"unrepeatable,omitempty"`
 }
 
-// StageAnswer is the body of its answer.
+// StageAnswer is the body of the answer to a StageCall.
 type StageAnswer struct {
 	Request request.ID      `json:"request"`
 	Stage   string          `json:"stage"`
@@ -137,16 +137,16 @@
 	Result  json.RawMessage `json:"result"`
 }
 
-// Check reports what is missing of a.
+// Check reports an error if the answer has no result.
 func (a StageAnswer) Check() error {
 	if len(a.Result) == 0 {
-		return fmt.Errorf("protocol: an answer without a result")
+		return fmt.Errorf("protocol: the answer has no result")
 	}
 	return nil
 }
 
-// Completion is the body of a call to an engine: the usual completion call
-// with a few fields more.
+// Completion is the body of a call to an engine: a standard completion call with a few
+// additional fields.
 type Completion struct {
 	Model     string `json:"model"`
 	Adapter   string `json:"adapter,omitempty"`
@@ -154,14 +154,14 @@
 	MaxTokens int    `json:"max_tokens,omitempty"`
 	// Stream is always true.
 	Stream bool `json:"stream"`
-	// Priority is lower for what must come first.
+	// Priority orders calls; lower values are served first.
 	Priority int    `json:"priority"`
 	User     string `json:"user"`
 }
 
 // CompletionChunk is one event of an engine's stream.
 type CompletionChunk struct {
-	// ID names the stream and is the same in all its events.
+	// ID identifies the stream and is the same in all its events.
 	ID      string             `json:"id"`
 	Object  string             `json:"object"`
 	Model   string             `json:"model"`
@@ -176,20 +176,20 @@
 	FinishReason *string `json:"finish_reason"`
 }
 
-// CompletionUsage counts tokens and stands in the last event.
+// CompletionUsage counts tokens; it is part of the last event.
 type CompletionUsage struct {
 	PromptTokens     int `json:"prompt_tokens"`
 	CompletionTokens int `json:"completion_tokens"`
-	// CachedTokens is how much of the prompt came from the prefix cache.
+	// CachedTokens is how many tokens of the prompt were in the prefix cache.
 	CachedTokens int `json:"cached_tokens"`
 }
 
-// StreamEnd is the data that ends a whole stream.
+// StreamEnd is the data of the event that ends a complete stream.
 const StreamEnd = "[DONE]"
 
-// Refusal is the body of any status that is not 200.
+// Refusal is the body of any answer whose status is not 200.
 type Refusal struct {
 	Error string `json:"error"`
-	// RetryAfter says when to come back.
+	// RetryAfter is how long to wait before a retry.
 	RetryAfter pipeline.Duration `json:"retry_after,omitempty"`
 }
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -13,15 +13,15 @@
 	"github.com/wingvale/wingvale/internal/protocol"
 )
 
-func TestLoadHeader(t *testing.T) {
-	good := protocol.Load{Instance: "e7", Running: 3, Waiting: 2, Slots: 16, Leaving: true}
+func TestParseLoadHeader(t *testing.T) {
+	valid := protocol.Load{Instance: "e7", Running: 3, Waiting: 2, Slots: 16, Leaving: true}
 	cases := []struct {
 		name   string
 		header string
 		want   protocol.Load
 		known  bool
 	}{
-		{"good", good.Marshal(), good, true},
+		{"good", valid.Marshal(), valid, true},
 		{"an empty dictionary", "", protocol.Load{}, true},
 		{"no dictionary", "running=;;", protocol.Load{}, false},
 		{"negative", "running=-5, slots=4", protocol.Load{Slots: 4}, true},
