--- a/request/event.go
+++ b/request/event.go
@@ -16,25 +16,27 @@
 	"github.com/wingvale/wingvale/verdict"
 )
 
-// EventType names the events of an answer, in the order they come.
+// EventType is the type of an event of an answer. The types are listed in the order in which
+// events are sent.
 type EventType string
 
 const (
-	// EventAccepted comes first: the request was admitted.
+	// EventAccepted is the first event: the request was admitted.
 	EventAccepted EventType = "accepted"
-	// EventCheckpoint lets the caller resume elsewhere; repeatable only.
+	// EventCheckpoint lets the caller resume the request at another node. It is sent for
+	// repeatable requests only.
 	EventCheckpoint EventType = "checkpoint"
-	// EventChunk bears the next part of the answer.
+	// EventChunk has the next part of the answer.
 	EventChunk EventType = "chunk"
-	// EventDone ends a whole answer.
+	// EventDone ends a complete answer.
 	EventDone EventType = "done"
-	// EventFailed ends a request that gave no whole answer.
+	// EventFailed ends a request without a complete answer.
 	EventFailed EventType = "failed"
 )
 
-// Event is one step of an answer: the field that Type names is set.
+// Event is one event of an answer. The field that corresponds to Type is set.
 type Event struct {
-	// Type tells which field is set.
+	// Type determines which field is set.
 	Type EventType `json:"-"`
 	// Accepted is set for EventAccepted.
 	Accepted *Accepted `json:"accepted,omitempty"`
@@ -48,27 +50,27 @@
 	Failed *Failed `json:"failed,omitempty"`
 }
 
-// Accepted says who runs the request.
+// Accepted reports which node runs the request.
 type Accepted struct {
 	ID      ID             `json:"id"`
 	Node    netip.AddrPort `json:"node"`
 	Attempt int            `json:"attempt"`
-	// Deadline is the time left.
+	// Deadline is the remaining time.
 	Deadline pipeline.Duration `json:"deadline"`
-	// Repeatable says that checkpoints follow.
+	// Repeatable is set if the request may run again, so that checkpoints follow.
 	Repeatable bool `json:"repeatable"`
 }
 
-// Chunk is one part of the answer. Chunks of a higher attempt replace all
-// chunks of lower ones.
+// Chunk is one part of the answer. The chunks of an attempt replace those of all earlier
+// attempts.
 type Chunk struct {
 	Attempt int `json:"attempt"`
-	// Sequence counts from 0 without gaps within the attempt.
+	// Sequence counts the chunks of the attempt from 0, without gaps.
 	Sequence int    `json:"seq"`
 	Text     string `json:"text"`
 }
 
-// StageCost is what one stage of one request took.
+// StageCost is the time and the attempts that one stage of a request took.
 type StageCost struct {
 	Stage    string            `json:"stage"`
 	Server   netip.AddrPort    `json:"server"`
@@ -77,33 +79,33 @@
 	Work     pipeline.Duration `json:"work"`
 }
 
-// Done ends a whole answer.
+// Done ends a complete answer.
 type Done struct {
 	ID      ID  `json:"id"`
 	Attempt int `json:"attempt"`
-	// Chunks is how many chunks the answer has.
+	// Chunks is the number of chunks of the answer.
 	Chunks int `json:"chunks"`
-	// Digest is the SHA-256 of all text, in hexadecimal.
+	// Digest is the SHA-256 of the whole text, in hexadecimal.
 	Digest string      `json:"digest"`
 	Costs  []StageCost `json:"costs"`
 }
 
-// Failed ends a request without a whole answer. As a response body it is also
-// what a refusal looks like.
+// Failed ends a request without a complete answer. It is also the body of a response that
+// refuses a request.
 type Failed struct {
 	Verdict verdict.Verdict `json:"verdict"`
 	Reason  verdict.Reason  `json:"reason"`
-	// Settled says that nothing will ever run under the request's id.
+	// Settled is set if nothing will ever run under the id of the request.
 	Settled bool   `json:"settled,omitempty"`
 	Message string `json:"message,omitempty"`
-	// RetryAfter says when to come back; 0 says nothing.
+	// RetryAfter is how long to wait before a retry; 0 gives no advice.
 	RetryAfter pipeline.Duration `json:"retry_after,omitempty"`
-	// Addresses are other entry hosts and fresh ids, where that helps.
+	// Addresses has other entry hosts and fresh ids, if these help.
 	Addresses *Addresses  `json:"addresses,omitempty"`
 	Costs     []StageCost `json:"costs,omitempty"`
 }
 
-// FailedOf returns err as the caller sees it.
+// FailedOf converts err to the form that callers receive.
 func FailedOf(err error) Failed {
 	e := verdict.As(err)
 	f := Failed{Verdict: e.Verdict, Reason: e.Reason, RetryAfter: pipeline.Duration(e.RetryAfter), Settled: e.Settled}
@@ -113,14 +115,14 @@
 	return f
 }
 
-// Err returns f as an error with its verdict.
+// Err converts f to an error with its verdict.
 func (f Failed) Err() *verdict.Error {
 	e := verdict.New(f.Verdict, f.Reason, "%s", f.Message)
 	e.Settled = f.Settled && f.Verdict == verdict.NotRun
 	return e.After(time.Duration(f.RetryAfter))
 }
 
-// Status is what became of a request.
+// Status is the status of a request.
 type Status struct {
 	ID ID `json:"id"`
 	// State is running, done or failed.
@@ -135,42 +137,42 @@
 type State string
 
 const (
-	// StateRunning means that the answer is not complete.
+	// StateRunning means that the answer is not complete yet.
 	StateRunning State = "running"
-	// StateDone means that the whole answer is retained.
+	// StateDone means that the complete answer is retained.
 	StateDone State = "done"
-	// StateFailed means that the request ended without a whole answer.
+	// StateFailed means that the request ended without a complete answer.
 	StateFailed State = "failed"
 )
 
-// DecodeEvent reads the data of one server-sent event and checks it.
+// DecodeEvent decodes and checks the data of one server-sent event.
 func DecodeEvent(kind string, data []byte) (Event, error) {
 	e := Event{Type: EventType(kind)}
 	if err := json.Unmarshal(data, &e); err != nil {
 		return Event{}, fmt.Errorf("request: event %q: %w", kind, err)
 	}
-	set := map[EventType]bool{
+	hasContent := map[EventType]bool{
 		EventAccepted:   e.Accepted != nil,
 		EventCheckpoint: e.Checkpoint != nil,
 		EventChunk:      e.Chunk != nil,
 		EventDone:       e.Done != nil,
 		EventFailed:     e.Failed != nil,
 	}
-	if !set[e.Type] {
-		return Event{}, fmt.Errorf("request: event %q lacks its content", kind)
+	if !hasContent[e.Type] {
+		return Event{}, fmt.Errorf("request: event %q has no content of its type", kind)
 	}
 	return e, nil
 }
 
-// Digest sums the text of an answer.
+// Digest computes the digest of the text of an answer.
 type Digest struct{ h hash.Hash }
 
-// NewDigest returns the digest of no text.
+// NewDigest returns the digest of the empty text.
 func NewDigest() Digest {
 	return Digest{h: sha256.New()}
 }
 
-// Add takes the next text in.
+// Add appends text to the digested text.
 func (d Digest) Add(text string) {
 	_, _ = d.h.Write([]byte(text))
 }
--- a/request/id.go
+++ b/request/id.go
@@ -14,40 +14,41 @@
 	"time"
 )
 
-// Incarnation names one run of one node. Two runs at the same address differ.
+// Incarnation identifies one run of one node. Two runs at the same address have different
+// incarnations.
 type Incarnation uint64
 
-// Key signs ids. Each incarnation makes its own and shows it to nobody.
+// Key signs ids. Each incarnation creates its own key and keeps it secret.
 type Key [32]byte
 
-// ID names one request and the incarnation that alone may start it.
+// ID identifies one request, and the only incarnation that may start it.
 type ID struct {
-	// Issuer is where callers reach the issuing node.
+	// Issuer is the address for callers of the issuing node.
 	Issuer netip.AddrPort
-	// Incarnation is the issuer's.
+	// Incarnation is that of the issuer.
 	Incarnation Incarnation
 	// Sequence is unique within the incarnation.
 	Sequence uint64
-	// Issued is the time between the incarnation's start and the issue, by the
-	// issuer's monotonic clock, in whole milliseconds.
+	// Issued is the time of issue since the start of the incarnation, by the monotonic clock
+	// of the issuer, in whole milliseconds.
 	Issued time.Duration
-	// Seal is the issuer's signature over the other fields.
+	// Seal is the issuer's signature of the other fields.
 	Seal [sealBytes]byte
 }
 
 const (
-	idVersion = 1
-	sealBytes = 8
-	addrBytes = 16
-	idBytes   = 1 + addrBytes + 2 + 8 + 8 + 8 + sealBytes
-	idPrefix  = "wv"
+	idVersion    = 1
+	sealBytes    = 8
+	addressBytes = 16
+	idBytes      = 1 + addressBytes + 2 + 8 + 8 + 8 + sealBytes
+	idPrefix     = "wv"
 )
 
-var idCoding = base32.NewEncoding("0123456789abcdefghjkmnpqrstvwxyz").WithPadding(base32.NoPadding)
+var idEncoding = base32.NewEncoding("0123456789abcdefghjkmnpqrstvwxyz").WithPadding(base32.NoPadding)
 
 // Issue returns a signed id.
-func Issue(key Key, issuer netip.AddrPort, inc Incarnation, seq uint64, issued time.Duration) ID {
-	id := ID{Issuer: issuer, Incarnation: inc, Sequence: seq, Issued: issued.Truncate(time.Millisecond)}
+func Issue(key Key, issuer netip.AddrPort, incarnation Incarnation, sequence uint64, issued time.Duration) ID {
+	id := ID{Issuer: issuer, Incarnation: incarnation, Sequence: sequence, Issued: issued.Truncate(time.Millisecond)}
 	id.Seal = id.sign(key)
 	return id
 }
@@ -75,53 +76,53 @@
 	return binary.BigEndian.AppendUint64(b, uint64(id.Issued.Milliseconds()))
 }
 
-// IsZero reports whether id is no id.
+// IsZero reports whether id is the zero ID.
 func (id ID) IsZero() bool {
 	return id == ID{}
 }
 
 // String returns the wire form, which is safe in a URL path.
 func (id ID) String() string {
-	return idPrefix + idCoding.EncodeToString(append(id.appendBody(nil), id.Seal[:]...))
+	return idPrefix + idEncoding.EncodeToString(append(id.appendBody(nil), id.Seal[:]...))
 }
 
-// ParseID reads the wire form. It cannot tell whether the id was ever issued.
+// ParseID parses the wire form. It does not check whether the id was ever issued.
 func ParseID(text string) (ID, error) {
 	body, ok := strings.CutPrefix(text, idPrefix)
-	if !ok || len(body) != idCoding.EncodedLen(idBytes) {
-		return ID{}, fmt.Errorf("request: %.80q is no request id", text)
+	if !ok || len(body) != idEncoding.EncodedLen(idBytes) {
+		return ID{}, fmt.Errorf("request: %.80q is not a request id", text)
 	}
-	raw, err := idCoding.DecodeString(body)
+	raw, err := idEncoding.DecodeString(body)
 	if err != nil {
-		return ID{}, fmt.Errorf("request: %.80q is no request id: %w", text, err)
+		return ID{}, fmt.Errorf("request: %.80q is not a request id: %w", text, err)
 	}
 	if raw[0] != idVersion {
-		return ID{}, fmt.Errorf("request: id version %d, this release reads %d", raw[0], idVersion)
+		return ID{}, fmt.Errorf("request: id has version %d, this release supports %d", raw[0], idVersion)
 	}
 	id := decodeID(raw[1:])
 	if id.String() != text {
-		return ID{}, fmt.Errorf("request: %.80q is no request id in its one form", text)
+		return ID{}, fmt.Errorf("request: %.80q is not a request id in canonical form", text)
 	}
 	return id, nil
 }
 
 func decodeID(raw []byte) ID {
-	addr := netip.AddrFrom16([addrBytes]byte(raw[:addrBytes])).Unmap()
-	raw = raw[addrBytes:]
+	addr := netip.AddrFrom16([addressBytes]byte(raw[:addressBytes])).Unmap()
+	raw = raw[addressBytes:]
 	id := ID{
 		Issuer:      netip.AddrPortFrom(addr, binary.BigEndian.Uint16(raw)),
 		Incarnation: Incarnation(binary.BigEndian.Uint64(raw[2:])),
 		Sequence:    binary.BigEndian.Uint64(raw[10:]),
-		Issued:      time.Duration(binary.BigEndian.Uint64(raw[18:])&maxIssued) * time.Millisecond,
+		Issued:      time.Duration(binary.BigEndian.Uint64(raw[18:])&maxIssuedMs) * time.Millisecond,
 	}
 	copy(id.Seal[:], raw[26:])
 	return id
 }
 
-// maxIssued keeps a forged issue time within a time.Duration.
-const maxIssued = 1<<40 - 1
+// maxIssuedMs keeps a forged time of issue within the range of time.Duration.
+const maxIssuedMs = 1<<40 - 1
 
-// MarshalText returns the wire form and never fails.
+// MarshalText returns the wire form. It never fails.
 func (id ID) MarshalText() ([]byte, error) {
 	if id.IsZero() {
 		return nil, nil
@@ -129,7 +130,7 @@
 	return []byte(id.String()), nil
 }
 
-// UnmarshalText reads the wire form; empty text is the zero id.
+// UnmarshalText parses the wire form; an empty text is the zero ID.
 func (id *ID) UnmarshalText(text []byte) error {
 	if len(text) == 0 {
 		*id = ID{}
--- a/request/request_test.go
+++ b/request/request_test.go
@@ -15,7 +15,7 @@
 	"github.com/wingvale/wingvale/verdict"
 )
 
-func TestIDKeepsItsPartsAndItsSeal(t *testing.T) {
+func TestIDRoundTripKeepsFieldsAndSeal(t *testing.T) {
 	key := request.Key{1, 2, 3}
 	for _, issuer := range []string{"10.0.0.1:7000", "[2001:db8::1]:7000"} {
 		id := request.Issue(key, netip.MustParseAddrPort(issuer), 42, 7, 1234567*time.Microsecond)
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestFailedKeepsTheVerdict(t *testing.T) {
+func TestFailedRoundTripKeepsVerdict(t *testing.T) {
 	for _, e := range []*verdict.Error{
 		verdict.New(verdict.NotRun, verdict.ReasonOverload, "full").After(time.Second),
 		verdict.New(verdict.Unknown, verdict.ReasonConnection, "cut"),
--- a/request/spec.go
+++ b/request/spec.go
@@ -20,24 +20,23 @@
 	MaxAttempt         = 1 << 16
 )
 
-// Spec is what a caller asks for.
+// Spec is the specification of a request.
 type Spec struct {
-	// Workspace names the published workspace.
+	// Workspace is the name of the published workspace.
 	Workspace string `json:"workspace"`
-	// Pipeline names the published template.
+	// Pipeline is the name of the published template.
 	Pipeline string `json:"pipeline"`
 	// Input is the caller's text, at most MaxInputBytes.
 	Input string `json:"input"`
-	// Deadline is how long the caller waits; 0 leaves it to the workspace.
+	// Deadline is how long the caller waits; 0 selects the default of the workspace.
 	Deadline pipeline.Duration `json:"deadline,omitempty"`
-	// Unrepeatable asks that the request runs at most once.
+	// Unrepeatable requires that the request runs at most once.
 	Unrepeatable bool `json:"unrepeatable,omitempty"`
-	// Resume is set to go on where an earlier attempt was cut off. It must be
-	// nil for an unrepeatable request.
+	// Resume continues an interrupted attempt. It must be nil for an unrepeatable request.
 	Resume *Checkpoint `json:"resume,omitempty"`
 }
 
-// Check reports the first thing wrong with s.
+// Check returns an error for the first invalid field of s.
 func (s Spec) Check() error {
 	if err := pipeline.CheckName("workspace", s.Workspace); err != nil {
 		return err
@@ -60,28 +59,28 @@
 	return s.Resume.Check()
 }
 
-// Checkpoint is what a caller holds of a repeatable request, so that another
-// node can go on from there. Finished stages are not run again.
+// Checkpoint is the state of a repeatable request that the caller holds, so that another node
+// can resume the request. Finished stages are not run again.
 type Checkpoint struct {
-	// Attempt numbers the run that wrote the checkpoint, from 1.
+	// Attempt is the number of the attempt that wrote the checkpoint, from 1.
 	Attempt int `json:"attempt"`
-	// Finished names the last stage that ended; empty if none has.
+	// Finished is the name of the last finished stage; empty if there is none.
 	Finished string `json:"finished,omitempty"`
-	// Result is that stage's result.
+	// Result is the result of that stage.
 	Result json.RawMessage `json:"result,omitempty"`
 	// Stream is set while an engine streams the next stage.
 	Stream *StreamRef `json:"stream,omitempty"`
 }
 
-// StreamRef names a stream at an engine.
+// StreamRef identifies a stream of an engine.
 type StreamRef struct {
-	// Server is the engine's address.
+	// Server is the address of the engine.
 	Server netip.AddrPort `json:"server"`
-	// ID is the engine's name of the stream.
+	// ID is the engine's id of the stream.
 	ID string `json:"id"`
 }
 
-// Check reports the first thing wrong with c.
+// Check returns an error for the first invalid field of c.
 func (c Checkpoint) Check() error {
 	if c.Attempt < 1 || c.Attempt > MaxAttempt {
 		return fmt.Errorf("request: checkpoint attempt %d, want 1 to %d", c.Attempt, MaxAttempt)
@@ -100,16 +99,16 @@
 	return nil
 }
 
-// Addresses answers the question which addresses to use.
+// Addresses is the answer to a request for addresses.
 type Addresses struct {
-	// Addresses has the best first; a caller takes the next where one fails.
+	// Addresses are ordered by preference; if one fails, a caller tries the next.
 	Addresses []netip.AddrPort `json:"addresses"`
-	// Hold is how long a caller may keep the answer.
+	// Hold is how long a caller may cache the answer.
 	Hold pipeline.Duration `json:"hold"`
-	// IDs are fresh ids of the answering node, each for one request.
+	// IDs are fresh ids issued by the answering node, each for one request.
 	IDs []ID `json:"ids"`
 	// IDsValid is how long the ids may be used from now.
 	IDsValid pipeline.Duration `json:"ids_valid"`
-	// Revision is the highest configuration revision of the node.
+	// Revision is the highest revision of the configuration at the node.
 	Revision uint64 `json:"revision"`
 }
