--- a/verdict/verdict.go
+++ b/verdict/verdict.go
@@ -9,18 +9,17 @@
 	"time"
 )
 
-// Verdict tells whether the work behind an error or an answer ran.
+// Verdict states whether the work behind an error or an answer ran.
 //
-// The zero value is Unknown, so that a forgotten verdict never claims more
-// than is known.
+// The zero value is Unknown, so that a missing verdict never claims more than is known.
 type Verdict int
 
 const (
-	// Unknown means that the work may have run, in part or whole.
+	// Unknown means that the work may have run, in part or completely.
 	Unknown Verdict = iota
-	// NotRun means that no part of the work ran, and none will.
+	// NotRun means that no part of the work ran or will run.
 	NotRun
-	// Ran means that the work ran to its end.
+	// Ran means that the work ran to completion.
 	Ran
 )
 
@@ -42,12 +41,12 @@
 	}
 }
 
-// MarshalText returns the wire form of v and never fails.
+// MarshalText returns the wire form of v. It never fails.
 func (v Verdict) MarshalText() ([]byte, error) {
 	return []byte(v.String()), nil
 }
 
-// UnmarshalText reads the wire form and refuses any other text.
+// UnmarshalText parses the wire form and rejects any other text.
 func (v *Verdict) UnmarshalText(text []byte) error {
 	switch string(text) {
 	case textUnknown:
@@ -65,7 +64,7 @@
 // Reason is a machine-readable cause, stable across releases.
 type Reason string
 
-// Reasons that callers may meet. The callers' page lists what each one means.
+// Reasons that callers may receive. The documentation for callers explains each of them.
 const (
 	ReasonInternal          Reason = "internal"
 	ReasonBadRequest        Reason = "bad_request"
@@ -91,19 +90,19 @@
 	ReasonConnection        Reason = "connection"
 )
 
-// Error is an error that bears a verdict.
+// Error is an error with a verdict.
 type Error struct {
-	// Verdict says whether the work may have run.
+	// Verdict states whether the work may have run.
 	Verdict Verdict
-	// Reason is the machine-readable cause and is never empty.
+	// Reason is the machine-readable cause. It is never empty.
 	Reason Reason
-	// RetryAfter is how long to wait before the next try; 0 says nothing.
+	// RetryAfter is how long to wait before a retry; 0 gives no advice.
 	RetryAfter time.Duration
-	// Settled says that the issuer of a request's id speaks, and that nothing
-	// will ever run under the id, not even a copy of the request that is still
-	// on its way. It implies NotRun.
+	// Settled is set if the error comes from the issuer of the request's id and nothing will
+	// ever run under this id, not even a copy of the request that is still in transit. It
+	// implies NotRun.
 	Settled bool
-	// Err is the cause in words and may be nil.
+	// Err is the underlying error, or nil.
 	Err error
 }
 
@@ -112,7 +111,7 @@
 	return &Error{Verdict: v, Reason: reason, Err: fmt.Errorf(format, args...)}
 }
 
-// Error returns the message with its verdict.
+// Error returns the reason, the verdict and the message.
 func (e *Error) Error() string {
 	if e.Err == nil {
 		return fmt.Sprintf("%s (%s)", e.Reason, e.Verdict)
@@ -120,20 +119,20 @@
 	return fmt.Sprintf("%s (%s): %v", e.Reason, e.Verdict, e.Err)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *Error) Unwrap() error {
 	return e.Err
 }
 
-// After returns a copy of e that asks the caller to come back after d.
+// After returns a copy of e that asks the caller to retry after d.
 func (e *Error) After(d time.Duration) *Error {
-	again := *e
-	again.RetryAfter = d
-	return &again
+	copied := *e
+	copied.RetryAfter = d
+	return &copied
 }
 
-// Of returns the verdict of err: that of the outermost Error in its chain,
-// Unknown where there is none, and Ran for nil.
+// Of returns the verdict of err: that of the outermost Error in its chain, Unknown if there is
+// none, and Ran for nil.
 func Of(err error) Verdict {
 	if err == nil {
 		return Ran
@@ -145,8 +144,8 @@
 	return Unknown
 }
 
-// As returns the Error in err's chain. An error that bears no verdict comes
-// back as Unknown and internal, and nil stays nil.
+// As returns the outermost Error in err's chain. An error without a verdict is wrapped as
+// Unknown and ReasonInternal, and nil remains nil.
 func As(err error) *Error {
 	if err == nil {
 		return nil
@@ -158,15 +157,14 @@
 	return &Error{Verdict: Unknown, Reason: ReasonInternal, Err: err}
 }
 
-// AfterSend returns err as it reads for work of which an earlier part was
-// already sent: NotRun becomes Unknown unless it is settled, everything else
-// stays.
+// AfterSend returns err as an Error for work of which an earlier part has already been sent:
+// NotRun becomes Unknown unless it is settled, and all else is unchanged.
 func AfterSend(err error) *Error {
 	e := As(err)
 	if e == nil || e.Verdict != NotRun || e.Settled {
 		return e
 	}
-	again := *e
-	again.Verdict = Unknown
-	return &again
+	copied := *e
+	copied.Verdict = Unknown
+	return &copied
 }
--- a/verdict/verdict_test.go
+++ b/verdict/verdict_test.go
@@ -13,7 +13,7 @@
 	"github.com/wingvale/wingvale/verdict"
 )
 
-func TestNothingUpgradesUnknown(t *testing.T) {
+func TestUnknownNeverBecomesNotRun(t *testing.T) {
 	notRun := verdict.New(verdict.NotRun, verdict.ReasonOverload, "full")
 	settled := &verdict.Error{Verdict: verdict.NotRun, Reason: verdict.ReasonOverload, Settled: true}
 	cases := []struct {
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestTextKeepsTheVerdict(t *testing.T) {
+func TestTextRoundTripKeepsVerdict(t *testing.T) {
 	for _, v := range []verdict.Verdict{verdict.Unknown, verdict.NotRun, verdict.Ran} {
 		text, err := v.MarshalText()
 		assert.NilError(t, err)
