--- a/pipeline/doc.go
+++ b/pipeline/doc.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The Wingvale Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package pipeline holds the values that operators publish: pipeline
-// templates, the parameters of a workspace, and models.
+// Package pipeline defines the values that operators publish: pipeline templates, workspaces
+// with their parameters, and models.
 //
-// A value is JSON with a format number. Decoding checks it as a whole, with no
-// look at other values, so every node accepts or rejects it alike.
+// A value is JSON with a format number. It is decoded and checked as a whole and independently
+// of other values, so that all nodes accept or reject the same values.
 package pipeline
--- a/pipeline/duration.go
+++ b/pipeline/duration.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Duration is a time.Duration that reads and writes as text such as "1.5s".
+// Duration is a time.Duration that is encoded as text such as "1.5s".
 type Duration time.Duration
 
 // Std returns d as a time.Duration.
@@ -16,12 +16,12 @@
 	return time.Duration(d)
 }
 
-// MarshalText returns the text form and never fails.
+// MarshalText returns the text form. It never fails.
 func (d Duration) MarshalText() ([]byte, error) {
 	return []byte(time.Duration(d).String()), nil
 }
 
-// UnmarshalText reads the text form and refuses a negative duration.
+// UnmarshalText parses the text form and rejects a negative duration.
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	if err != nil {
--- a/pipeline/model.go
+++ b/pipeline/model.go
@@ -5,28 +5,30 @@
 
 import "fmt"
 
-// MaxWeightBytes bounds the size of a model's weights.
+// MaxWeightBytes limits the size of a model's weights.
 const MaxWeightBytes = 4 << 40
 
-// Model is the published value of one model that engines can load.
+// Model is the published value of a model that engines can load.
 type Model struct {
-	// Format is always Format.
+	// Format is always the constant Format.
 	Format int `json:"format"`
-	// Name equals the last part of the key it is published under.
+	// Name equals the last part of the key under which the model is published.
 	Name string `json:"name"`
-	// Version names the weights; a new one is rolled out engine by engine.
+	// Version identifies the weights; a new version is rolled out engine by engine.
 	Version string `json:"version"`
-	// Pool names the engines that may load the model.
+	// Pool is the name of the pool of engines that may load the model.
 	Pool string `json:"pool"`
-	// Bytes is the size of the weights, which the weight store's rate divides.
+	// Bytes is the size of the weights. Divided by the transfer rate of the weight store, it
+	// gives the loading time.
 	Bytes int64 `json:"bytes"`
-	// Replicas is the fewest engines that hold the model, also in quiet seasons.
+	// Replicas is the minimum number of engines that hold the model, including in periods of
+	// low load.
 	Replicas int `json:"replicas"`
-	// Adapters are loaded along with the model.
+	// Adapters are loaded together with the model.
 	Adapters []string `json:"adapters,omitempty"`
 }
 
-// Check reports the first thing wrong with m.
+// Check returns an error for the first invalid field of m.
 func (m Model) Check() error {
 	if err := checkFormat(m.Format); err != nil {
 		return err
--- a/pipeline/template.go
+++ b/pipeline/template.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// Format is the one version of published values that this release reads.
+// Format is the only format of published values that this release supports.
 const Format = 1
 
-// Limits of published values. A value beyond one of them is rejected whole.
+// Limits of published values. A value beyond any of them is rejected as a whole.
 const (
 	MaxStages    = 16
 	MaxNameBytes = 64
@@ -21,7 +21,7 @@
 	MaxTokens    = 1 << 20
 )
 
-// Kind tells which protocol a stage's backend servers speak.
+// Kind selects the protocol of a stage's backend servers.
 type Kind string
 
 const (
@@ -29,17 +29,17 @@
 	KindPool Kind = "pool"
 	// KindEngine is a model engine, which streams its answer.
 	KindEngine Kind = "engine"
-	// KindService is a plain service beside the model engines.
+	// KindService is a plain service other than a model engine.
 	KindService Kind = "service"
 )
 
-// Class tells how urgent the work is.
+// Class is the urgency of the work.
 type Class string
 
 const (
-	// ClassInteractive is work that somebody waits for.
+	// ClassInteractive is work whose caller is waiting.
 	ClassInteractive Class = "interactive"
-	// ClassBackground is long work that yields to interactive work.
+	// ClassBackground is long-running work that yields to interactive work.
 	ClassBackground Class = "background"
 )
 
@@ -49,41 +49,42 @@
 	Name string `json:"name"`
 	// Kind selects the protocol.
 	Kind Kind `json:"kind"`
-	// Pool names the backend servers that run the stage.
+	// Pool is the name of the pool of backend servers that run the stage.
 	Pool string `json:"pool"`
 	// Model is set for engines only; a workspace may replace it.
 	Model string `json:"model,omitempty"`
 	// Adapter is set for engines only; a workspace may replace it.
 	Adapter string `json:"adapter,omitempty"`
-	// Prompt is set for engines only. "{previous}" and "{input}" stand for the
-	// result of the stage before and the caller's input.
+	// Prompt is set for engines only. The placeholders "{previous}" and "{input}" are replaced
+	// by the result of the previous stage and the caller's input.
 	Prompt string `json:"prompt,omitempty"`
-	// MaxTokens bounds the answer of an engine; 0 leaves it to the engine.
+	// MaxTokens limits the answer of an engine; 0 selects the limit of the engine.
 	MaxTokens int `json:"max_tokens,omitempty"`
-	// Unrepeatable marks a stage whose call must never be sent twice.
+	// Unrepeatable is set if a call of the stage must never be sent twice.
 	Unrepeatable bool `json:"unrepeatable,omitempty"`
-	// Share is the part of the deadline the stage may use, 0 to 1; 0 is no bound.
+	// Share is the share of the deadline that the stage may use, from 0 to 1; 0 means no
+	// limit.
 	Share float64 `json:"share,omitempty"`
 }
 
-// Template is one published pipeline.
+// Template is the published value of a pipeline.
 type Template struct {
-	// Format is always Format.
+	// Format is always the constant Format.
 	Format int `json:"format"`
-	// Name equals the last part of the key it is published under.
+	// Name equals the last part of the key under which the template is published.
 	Name string `json:"name"`
-	// Stages has 1 to MaxStages entries with distinct names, in order.
+	// Stages has 1 to MaxStages entries with distinct names, in execution order.
 	Stages []Stage `json:"stages"`
-	// Deadline applies where neither caller nor workspace gives a shorter one.
+	// Deadline applies unless the caller or the workspace sets a shorter one.
 	Deadline Duration `json:"deadline"`
-	// Class applies where the workspace gives none.
+	// Class applies unless the workspace sets one.
 	Class Class `json:"class,omitempty"`
 }
 
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]*$`)
 
-// CheckName refuses a name that is empty, long, or not lower-case letters,
-// digits, dots, dashes and underscores.
+// CheckName returns an error unless name has 1 to MaxNameBytes lower-case letters, digits,
+// dots, dashes and underscores, the first being a letter or a digit.
 func CheckName(what, name string) error {
 	if len(name) > MaxNameBytes {
 		return fmt.Errorf("pipeline: %s has %d bytes, at most %d are allowed", what, len(name), MaxNameBytes)
@@ -96,7 +97,7 @@
 
 func checkFormat(format int) error {
 	if format != Format {
-		return fmt.Errorf("pipeline: format %d, this release reads %d", format, Format)
+		return fmt.Errorf("pipeline: format %d, this release supports %d", format, Format)
 	}
 	return nil
 }
@@ -117,7 +118,7 @@
 	}
 }
 
-// Check reports the first thing wrong with t.
+// Check returns an error for the first invalid field of t.
 func (t Template) Check() error {
 	if err := checkFormat(t.Format); err != nil {
 		return err
@@ -145,7 +146,7 @@
 			return fmt.Errorf("pipeline: template %s: %w", t.Name, err)
 		}
 		if seen[s.Name] {
-			return fmt.Errorf("pipeline: template %s: stage %s stands twice", t.Name, s.Name)
+			return fmt.Errorf("pipeline: template %s: duplicate stage %s", t.Name, s.Name)
 		}
 		seen[s.Name] = true
 		shares += s.Share
@@ -170,7 +171,7 @@
 	case KindEngine:
 		return s.checkEngine()
 	case KindPool, KindService:
-		return s.checkPlain()
+		return s.checkNoEngineFields()
 	default:
 		return fmt.Errorf("stage %s: kind %q, want %q, %q or %q", s.Name, s.Kind, KindPool, KindEngine, KindService)
 	}
@@ -194,7 +195,7 @@
 	return nil
 }
 
-func (s Stage) checkPlain() error {
+func (s Stage) checkNoEngineFields() error {
 	if s.Model != "" || s.Adapter != "" || s.Prompt != "" || s.MaxTokens != 0 {
 		return fmt.Errorf("stage %s: model, adapter, prompt and max_tokens are for kind %q only", s.Name, KindEngine)
 	}
--- a/pipeline/value.go
+++ b/pipeline/value.go
@@ -10,7 +10,7 @@
 	"strings"
 )
 
-// MaxValueBytes is the largest value that the configuration service holds.
+// MaxValueBytes is the maximum size of a value in the configuration service.
 const MaxValueBytes = 1 << 20
 
 // Prefixes of the keys under which values are published.
@@ -22,15 +22,15 @@
 
 type checker interface{ Check() error }
 
-// Value is one decoded published value: exactly one field is set.
+// Value is one decoded published value. Exactly one field is set.
 type Value struct {
 	Template  *Template
 	Workspace *Workspace
 	Model     *Model
 }
 
-// Decode reads the value published under key and checks it. It depends on
-// nothing but its arguments.
+// Decode decodes and checks the value published under key. The result depends on nothing but
+// its arguments.
 func Decode(key string, data []byte) (Value, error) {
 	if len(data) > MaxValueBytes {
 		return Value{}, fmt.Errorf("pipeline: %s has %d bytes, at most %d are allowed", key, len(data), MaxValueBytes)
@@ -58,7 +58,7 @@
 		return v, err
 	}
 	if d.More() {
-		return v, fmt.Errorf("more follows the value")
+		return v, fmt.Errorf("trailing data after the value")
 	}
 	return v, nil
 }
@@ -71,7 +71,7 @@
 		return fmt.Errorf("pipeline: %s: %w", key, err)
 	}
 	if name() != want {
-		return fmt.Errorf("pipeline: %s bears the name %q", key, name())
+		return fmt.Errorf("pipeline: %s has the name %q", key, name())
 	}
 	return nil
 }
--- a/pipeline/workspace.go
+++ b/pipeline/workspace.go
@@ -5,20 +5,21 @@
 
 import "fmt"
 
-// MaxPipelines bounds the pipelines of one workspace.
+// MaxPipelines limits the pipelines of one workspace.
 const MaxPipelines = 256
 
-// MaxWeight bounds a workspace's weight.
+// MaxWeight limits the weight of a workspace.
 const MaxWeight = 1000
 
-// Parameters are one workspace's settings of one pipeline. A zero field leaves
-// what the template says.
+// Parameters are a workspace's settings for one pipeline. A zero field selects the value of
+// the template.
 type Parameters struct {
-	// Stages names the stages that run, in the template's order; none is all.
+	// Stages selects the stages to run, which keep the order of the template; if empty, all
+	// stages run.
 	Stages []string `json:"stages,omitempty"`
-	// Model answers instead of the template's model.
+	// Model replaces the template's model.
 	Model string `json:"model,omitempty"`
-	// Adapter answers instead of the template's adapter.
+	// Adapter replaces the template's adapter.
 	Adapter string `json:"adapter,omitempty"`
 	// MaxWait is the longest deadline that the workspace may ask for.
 	MaxWait Duration `json:"max_wait,omitempty"`
@@ -28,19 +29,20 @@
 
 // Workspace is the published value of one workspace.
 type Workspace struct {
-	// Format is always Format.
+	// Format is always the constant Format.
 	Format int `json:"format"`
-	// Name equals the last part of the key it is published under.
+	// Name equals the last part of the key under which the workspace is published.
 	Name string `json:"name"`
-	// Customer is whom the workspace belongs to.
+	// Customer is the customer that the workspace belongs to.
 	Customer string `json:"customer"`
-	// Weight is the workspace's share against the others, 1 to MaxWeight.
+	// Weight is the workspace's weight in fair queueing, from 1 to MaxWeight.
 	Weight int `json:"weight"`
-	// Pipelines are the ones that the workspace may call, by template name.
+	// Pipelines has the pipelines that the workspace may call, by template name.
 	Pipelines map[string]Parameters `json:"pipelines"`
 }
 
-// Check reports the first thing wrong with w. It does not look at templates.
+// Check returns an error for the first invalid field of w. It does not check whether the
+// templates exist.
 func (w Workspace) Check() error {
 	if err := checkFormat(w.Format); err != nil {
 		return err
@@ -88,9 +90,9 @@
 	return p.Class.check()
 }
 
-// Resolve returns t as w calls it: the stages that w selects, with w's model,
-// adapter, longest wait and class. It fails where w does not know t or selects
-// a stage that t lacks.
+// Resolve applies the parameters of w to t: the selected stages, the model, the adapter, the
+// longest deadline and the class. It fails if w does not have the pipeline t, or selects a
+// stage that t does not have.
 func (w Workspace) Resolve(t Template) (Template, error) {
 	p, ok := w.Pipelines[t.Name]
 	if !ok {
@@ -118,18 +120,18 @@
 	if len(p.Stages) == 0 {
 		return append([]Stage(nil), t.Stages...), nil
 	}
-	wanted := make(map[string]bool, len(p.Stages))
+	selected := make(map[string]bool, len(p.Stages))
 	for _, n := range p.Stages {
-		wanted[n] = true
+		selected[n] = true
 	}
-	stages := make([]Stage, 0, len(wanted))
+	stages := make([]Stage, 0, len(selected))
 	for _, s := range t.Stages {
-		if wanted[s.Name] {
+		if selected[s.Name] {
 			stages = append(stages, s)
 		}
 	}
-	if len(stages) != len(wanted) {
-		return nil, fmt.Errorf("pipeline: template %s lacks a stage of %v", t.Name, p.Stages)
+	if len(stages) != len(selected) {
+		return nil, fmt.Errorf("pipeline: template %s does not have all of the stages %v", t.Name, p.Stages)
 	}
 	return stages, nil
 }
