--- a/internal/peer/advertise.go
+++ b/internal/peer/advertise.go
@@ -14,19 +14,18 @@
 	"github.com/wingvale/wingvale/internal/published"
 )
 
-// bulkBytes is how many bytes of small entries are pushed unasked at most. More,
-// as when many backend servers are listed at once, cost as much as a large one.
-const bulkBytes = 4 * published.LargeBytes
+// maxPushBytes is the maximum total size of small entries that are pushed without a request. More
+// of them, for example when many backend servers are listed at once, cost as much as a large one.
+const maxPushBytes = 4 * published.LargeBytes
 
-// Advertise takes in which entries a peer has and asks for those that this node
-// lacks.
+// Advertise receives the versions that a peer has and requests the entries that this node lacks.
 func (s *service) Advertise(_ context.Context, in *peerpb.AdvertiseRequest) (*peerpb.AdvertiseReply, error) {
 	g := s.g
-	peer, err := addressOf(in.GetPeer())
+	peer, err := decodeAddress(in.GetPeer())
 	if err != nil {
 		return nil, twirp.InvalidArgumentError("peer", err.Error())
 	}
-	store, err := g.options.Spaces.of(in.GetSpace())
+	store, err := g.options.Spaces.storeFor(in.GetSpace())
 	if err != nil {
 		return nil, twirp.InvalidArgumentError("space", err.Error())
 	}
@@ -34,21 +33,22 @@
 		return nil, twirp.InvalidArgumentError("versions", "too many")
 	}
 	lacking := make(map[string]published.Version)
-	for key, v := range versionsOf(in.GetVersions()) {
+	for key, v := range decodeVersions(in.GetVersions()) {
 		if store.Lacks(key, v) {
 			lacking[key] = v
 		}
 	}
 	if len(lacking) > 0 {
-		g.enqueue(func(ctx context.Context) { _, _ = g.ask(ctx, peer, in.GetSpace(), lacking, true) })
+		g.enqueue(func(ctx context.Context) { _, _ = g.requestEntries(ctx, peer, in.GetSpace(), lacking, true) })
 	}
 	return &peerpb.AdvertiseReply{}, nil
 }
 
-// ask asks a peer for entries that this node lacks: small ones at once, large
-// ones by pulls, which it returns.
-func (g *Gossip) ask(ctx context.Context, peer netip.AddrPort, space peerpb.Space, lacking map[string]published.Version, tell bool) ([]*pull, error) {
-	store, err := g.options.Spaces.of(space)
+// requestEntries requests entries that this node lacks from a peer. It fetches small ones at once
+// and starts pulls of large ones, which it returns. Fetched entries are advertised to other peers if
+// readvertise is set.
+func (g *Gossip) requestEntries(ctx context.Context, peer netip.AddrPort, space peerpb.Space, lacking map[string]published.Version, readvertise bool) ([]*pull, error) {
+	store, err := g.options.Spaces.storeFor(space)
 	if err != nil {
 		return nil, err
 	}
@@ -59,29 +59,29 @@
 			small = append(small, key)
 			continue
 		}
-		if p := g.want(space, key, v, peer); p != nil {
+		if p := g.startPull(space, key, v, peer); p != nil {
 			pulls = append(pulls, p)
 		}
 	}
 	claimed := g.pulls.claim(space, small)
 	defer g.pulls.release(space, claimed)
-	// Some may have come from another peer before they were claimed.
+	// Some may have arrived from another peer before they were claimed.
 	claimed = slices.DeleteFunc(slices.Clone(claimed), func(key string) bool { return !store.Lacks(key, lacking[key]) })
-	return pulls, g.fetch(ctx, g.client(peer), space, claimed, lacking, tell)
+	return pulls, g.fetch(ctx, g.client(peer), space, claimed, lacking, readvertise)
 }
 
-// tell hands small entries over to a peer and advertises large ones, and small
-// ones that are many.
-func (g *Gossip) tell(ctx context.Context, peer netip.AddrPort, space peerpb.Space, entries []published.Entry) error {
-	small, large := split(entries)
+// offerEntries pushes small entries to a peer. It advertises large entries, and small entries whose
+// total is large.
+func (g *Gossip) offerEntries(ctx context.Context, peer netip.AddrPort, space peerpb.Space, entries []published.Entry) error {
+	small, large := splitForPush(entries)
 	if err := push(ctx, g.client(peer), space, small); err != nil {
 		return err
 	}
 	return g.advertise(ctx, peer, space, large)
 }
 
-// split parts entries into those to push and those to advertise.
-func split(entries []published.Entry) (pushed, advertised []published.Entry) {
+// splitForPush splits entries into those to push and those to advertise.
+func splitForPush(entries []published.Entry) (pushed, advertised []published.Entry) {
 	bytes := 0
 	for _, e := range entries {
 		if e.Version().Large() {
@@ -91,13 +91,13 @@
 		pushed = append(pushed, e)
 		bytes += len(e.Key) + len(e.Data)
 	}
-	if bytes > bulkBytes {
+	if bytes > maxPushBytes {
 		return nil, entries
 	}
 	return pushed, advertised
 }
 
-// advertise tells a peer which entries this node has.
+// advertise sends a peer the versions of entries that this node has.
 func (g *Gossip) advertise(ctx context.Context, peer netip.AddrPort, space peerpb.Space, entries []published.Entry) error {
 	if len(entries) == 0 {
 		return nil
@@ -106,16 +106,16 @@
 	for _, e := range entries {
 		versions = append(versions, versionMessage(e.Key, e.Version()))
 	}
-	ctx, cancel := context.WithTimeout(ctx, callFor)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	_, err := g.client(peer).Advertise(ctx, &peerpb.AdvertiseRequest{
-		Space: space, Versions: versions, Peer: addressBytes(g.options.View.Self().Peer),
+		Space: space, Versions: versions, Peer: encodeAddress(g.options.View.Self().Peer),
 	})
 	return err
 }
 
-func (g *Gossip) advertiseToSome(space peerpb.Space, entries []published.Entry) {
-	for _, m := range g.pick(Fanout*max(g.options.View.Self().Capacity, 1), netip.AddrPort{}) {
+func (g *Gossip) advertiseToPeers(space peerpb.Space, entries []published.Entry) {
+	for _, m := range g.pickLive(Fanout*max(g.options.View.Self().Capacity, 1), netip.AddrPort{}) {
 		g.enqueue(func(ctx context.Context) { _ = g.advertise(ctx, m.Peer, space, entries) })
 	}
 }
--- a/internal/peer/bulk.go
+++ b/internal/peer/bulk.go
@@ -20,51 +20,51 @@
 )
 
 const (
-	// manyParts is how many parts the asker must have nothing of for these to be handed
-	// over whole. The versions of all keys alone would be larger than the packed entries.
-	manyParts = published.Buckets / 2
-	// packedKept is how many packed parts are kept: those of both spaces.
-	packedKept = 2 * published.Buckets
-	// emptySum is that of a part without entries.
+	// bulkThreshold is how many buckets must be empty at the caller for them to be sent whole.
+	// The versions of all keys alone would be larger than the packed entries.
+	bulkThreshold = published.Buckets / 2
+	// packedCacheSize is the number of cached packed buckets: those of both spaces.
+	packedCacheSize = 2 * published.Buckets
+	// emptySum is the sum of an empty bucket.
 	emptySum = 0
 )
 
-// packedParts has the last packed parts, since those who start together ask for the same.
-// It is safe for concurrent use.
-type packedParts struct {
-	// mu makes those who ask at the same time wait for one packing.
-	mu   sync.Mutex
-	kept *lru.Cache[packedKey, []byte]
+// packedCache caches packed buckets, since nodes that start together request the same ones. It
+// is safe for concurrent use.
+type packedCache struct {
+	// mu makes concurrent callers wait for one packing.
+	mu    sync.Mutex
+	cache *lru.Cache[packedKey, []byte]
 }
 
-// packedKey names what a part held.
+// packedKey identifies the content of a bucket.
 type packedKey struct {
 	space peerpb.Space
 	part  int
 	sum   uint64
 }
 
-func newPackedParts() *packedParts {
-	kept, err := lru.New[packedKey, []byte](packedKept)
+func newPackedCache() *packedCache {
+	cache, err := lru.New[packedKey, []byte](packedCacheSize)
 	if err != nil {
 		panic(err) // only for a size below one
 	}
-	return &packedParts{kept: kept}
+	return &packedCache{cache: cache}
 }
 
-// of returns parts of a store, packed, as many as one message has, one at least.
-func (p *packedParts) of(space peerpb.Space, store Store, parts []int) ([]*peerpb.BulkPart, error) {
+// packBuckets returns the leading buckets, packed, that fit in one message, at least one.
+func (p *packedCache) packBuckets(space peerpb.Space, store Store, parts []int) ([]*peerpb.BulkPart, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	sums := store.Sums()
 	missing := slices.DeleteFunc(slices.Clone(parts), func(part int) bool {
-		return p.kept.Contains(packedKey{space: space, part: part, sum: sums[part]})
+		return p.cache.Contains(packedKey{space: space, part: part, sum: sums[part]})
 	})
 	held := store.InBuckets(missing)
 	var packed []*peerpb.BulkPart
 	bytes := 0
 	for _, part := range parts {
-		data, err := p.pack(packedKey{space: space, part: part, sum: sums[part]}, held[part])
+		data, err := p.packBucket(packedKey{space: space, part: part, sum: sums[part]}, held[part])
 		if err != nil {
 			return nil, err
 		}
@@ -76,44 +76,44 @@
 	return packed, nil
 }
 
-// pack returns a part as it was packed before, or packs its entries. Those may be newer
-// than the sum: whoever asks then finds the part different, and asks again.
-func (p *packedParts) pack(key packedKey, entries []published.Entry) ([]byte, error) {
-	if data, ok := p.kept.Get(key); ok {
+// packBucket returns the cached packed bucket, or packs its entries. The entries may be newer
+// than the sum in the key. The caller then finds that the bucket differs, and requests it again.
+func (p *packedCache) packBucket(key packedKey, entries []published.Entry) ([]byte, error) {
+	if data, ok := p.cache.Get(key); ok {
 		return data, nil
 	}
 	data, err := pack(slices.DeleteFunc(entries, func(e published.Entry) bool { return e.Version().Large() }))
 	if err != nil {
 		return nil, err
 	}
-	p.kept.Add(key, data)
+	p.cache.Add(key, data)
 	return data, nil
 }
 
-// pack compresses entries together: those of backend servers are much alike.
+// pack compresses entries together: those of backend servers are very similar.
 func pack(entries []published.Entry) ([]byte, error) {
 	message, err := proto.Marshal(&peerpb.FetchReply{Entries: entryMessages(entries)})
 	if err != nil {
-		return nil, fmt.Errorf("peer: %d entries: %w", len(entries), err)
+		return nil, fmt.Errorf("peer: pack %d entries: %w", len(entries), err)
 	}
 	return delta.Encode(nil, message)
 }
 
-func unpack(packed []byte) ([]published.Entry, error) {
+func unpackEntries(packed []byte) ([]published.Entry, error) {
 	message, err := delta.Decode(nil, packed, maxReplyBytes)
 	if err != nil {
 		return nil, err
 	}
 	var reply peerpb.FetchReply
 	if err := proto.Unmarshal(message, &reply); err != nil {
-		return nil, fmt.Errorf("peer: packed entries: %w", err)
+		return nil, fmt.Errorf("peer: unpack entries: %w", err)
 	}
-	return entriesOf(reply.GetEntries()), nil
+	return decodeEntries(reply.GetEntries()), nil
 }
 
-// Bulk returns whole parts of a space, within this node's share of its link.
+// Bulk returns whole buckets of a space, within the share of the link for entries.
 func (s *service) Bulk(ctx context.Context, in *peerpb.BulkRequest) (*peerpb.BulkReply, error) {
-	store, err := s.g.options.Spaces.of(in.GetSpace())
+	store, err := s.g.options.Spaces.storeFor(in.GetSpace())
 	if err != nil {
 		return nil, twirp.InvalidArgumentError("space", err.Error())
 	}
@@ -124,11 +124,11 @@
 		}
 		parts = append(parts, int(part))
 	}
-	packed, err := s.g.packed.of(in.GetSpace(), store, parts)
+	packed, err := s.g.packed.packBuckets(in.GetSpace(), store, parts)
 	if err != nil {
 		return nil, twirp.InternalErrorWith(err)
 	}
-	if err := pace(ctx, s.g.sent, packedBytes(packed)); err != nil {
+	if err := pace(ctx, s.g.sendLimiter, packedBytes(packed)); err != nil {
 		return nil, twirp.NewError(twirp.ResourceExhausted, err.Error())
 	}
 	return &peerpb.BulkReply{Parts: packed}, nil
@@ -142,44 +142,44 @@
 	return bytes
 }
 
-// takeBulk takes in the parts of a space that a peer has and this node has nothing of.
-// It asks one peer at a time for a space: what one has is what the others have.
-func (g *Gossip) takeBulk(ctx context.Context, address netip.AddrPort, space peerpb.Space, store Store, sums []uint64) error {
+// fetchBulk fetches the buckets of a space that are empty here and not at the peer. It fetches a
+// space from one peer at a time, since all peers hold nearly the same entries.
+func (g *Gossip) fetchBulk(ctx context.Context, address netip.AddrPort, space peerpb.Space, store Store, sums []uint64) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
-	case g.bulks[space] <- struct{}{}:
+	case g.bulkSlots[space] <- struct{}{}:
 	}
-	defer func() { <-g.bulks[space] }()
-	var asked []uint32
+	defer func() { <-g.bulkSlots[space] }()
+	var fetched []uint32
 	for {
-		left := slices.DeleteFunc(lackingParts(store.Sums(), sums), func(part uint32) bool { return slices.Contains(asked, part) })
-		if len(left) == 0 {
+		remaining := slices.DeleteFunc(missingBuckets(store.Sums(), sums), func(part uint32) bool { return slices.Contains(fetched, part) })
+		if len(remaining) == 0 {
 			return nil
 		}
-		parts, err := g.bulk(ctx, address, space, left)
+		parts, err := g.fetchBuckets(ctx, address, space, remaining)
 		if err != nil {
 			return err
 		}
 		for _, m := range parts {
-			entries, err := unpack(m.GetPacked())
+			entries, err := unpackEntries(m.GetPacked())
 			if err != nil {
 				return err
 			}
 			if accepted := store.Offer(entries...); len(accepted) > 0 {
 				g.options.Accepted(space, accepted)
 			}
-			asked = append(asked, m.GetPart())
+			fetched = append(fetched, m.GetPart())
 		}
-		if err := pace(ctx, g.received, packedBytes(parts)); err != nil {
+		if err := pace(ctx, g.receiveLimiter, packedBytes(parts)); err != nil {
 			return err
 		}
 	}
 }
 
-// lackingParts returns the parts of which a node with own sums has nothing and a peer with
-// other sums has entries. Of other parts it may have most.
-func lackingParts(own, sums []uint64) []uint32 {
+// missingBuckets returns the buckets that are empty in own and not empty in sums, those of a
+// peer. Buckets that merely differ are left out: this node may have most of their entries.
+func missingBuckets(own, sums []uint64) []uint32 {
 	var lacking []uint32
 	for part, sum := range sums[:min(len(sums), len(own))] {
 		if own[part] == emptySum && sum != emptySum {
@@ -189,9 +189,9 @@
 	return lacking
 }
 
-// bulk asks a peer for parts and returns the first of them, one at least.
-func (g *Gossip) bulk(ctx context.Context, address netip.AddrPort, space peerpb.Space, parts []uint32) ([]*peerpb.BulkPart, error) {
-	ctx, cancel := context.WithTimeout(ctx, callFor)
+// fetchBuckets requests buckets from a peer and returns the leading ones, at least one.
+func (g *Gossip) fetchBuckets(ctx context.Context, address netip.AddrPort, space peerpb.Space, parts []uint32) ([]*peerpb.BulkPart, error) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	reply, err := g.client(address).Bulk(ctx, &peerpb.BulkRequest{Space: space, Parts: parts})
 	if err != nil {
--- a/internal/peer/confirm.go
+++ b/internal/peer/confirm.go
@@ -14,15 +14,14 @@
 	"github.com/wingvale/wingvale/internal/published"
 )
 
-// Confirm has one of the hosts that watch the publisher look whether it has
-// anything newer, takes that over, and reports whether the node then holds all
-// there is. That hosts which were not told by the publisher agree proves nothing:
-// they may all be behind.
+// Confirm asks one of the hosts that watch the publisher to check it for newer entries, fetches
+// those, and reports whether this node then holds all of them. Agreement with hosts that do not
+// watch the publisher proves nothing: they may all be behind.
 func (g *Gossip) Confirm(ctx context.Context, space peerpb.Space, watching []fleet.Member) bool {
 	for _, m := range watching {
-		confirmed, err := g.confirmBy(ctx, m.Peer, space)
+		confirmed, err := g.confirmWith(ctx, m.Peer, space)
 		if err != nil {
-			g.options.Log.WithError(err).WithField("peer", m.Address).Info("a host that watches did not confirm")
+			g.options.Log.WithError(err).WithField("peer", m.Address).Info("watcher did not confirm that values are current")
 			continue
 		}
 		if confirmed {
@@ -32,14 +31,14 @@
 	return false
 }
 
-func (g *Gossip) confirmBy(ctx context.Context, peer netip.AddrPort, space peerpb.Space) (bool, error) {
-	asked, cancel := context.WithTimeout(ctx, confirmFor)
+func (g *Gossip) confirmWith(ctx context.Context, peer netip.AddrPort, space peerpb.Space) (bool, error) {
+	callCtx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
-	reply, err := g.client(peer).Confirm(asked, &peerpb.ConfirmRequest{Space: space})
+	reply, err := g.client(peer).Confirm(callCtx, &peerpb.ConfirmRequest{Space: space})
 	if err != nil || !reply.GetConfirmed() {
 		return false, err
 	}
-	store, err := g.options.Spaces.of(space)
+	store, err := g.options.Spaces.storeFor(space)
 	if err != nil {
 		return false, err
 	}
@@ -47,15 +46,15 @@
 	if store.Summary().Same(confirmed) {
 		return true, nil
 	}
-	if err := g.synchroniseWhole(ctx, peer, space); err != nil {
+	if err := g.synchroniseAndWait(ctx, peer, space); err != nil {
 		return false, err
 	}
 	return store.Summary().Revision >= reply.GetSummary().GetRevision(), nil
 }
 
-// Confirm looks whether the publisher has anything newer.
+// Confirm checks the publisher for newer entries.
 func (s *service) Confirm(ctx context.Context, in *peerpb.ConfirmRequest) (*peerpb.ConfirmReply, error) {
-	store, err := s.g.options.Spaces.of(in.GetSpace())
+	store, err := s.g.options.Spaces.storeFor(in.GetSpace())
 	if err != nil {
 		return nil, twirp.InvalidArgumentError("space", err.Error())
 	}
--- a/internal/peer/convert.go
+++ b/internal/peer/convert.go
@@ -15,7 +15,7 @@
 	"github.com/wingvale/wingvale/request"
 )
 
-// Limits of what one message may hold.
+// Limits of a single message.
 const (
 	maxMembers     = 64
 	maxLeaving     = 256
@@ -24,7 +24,7 @@
 	maxMessageSize = 8 << 20
 )
 
-func addressBytes(a netip.AddrPort) []byte {
+func encodeAddress(a netip.AddrPort) []byte {
 	b, err := a.MarshalBinary()
 	if err != nil {
 		return nil
@@ -32,18 +32,18 @@
 	return b
 }
 
-func addressOf(b []byte) (netip.AddrPort, error) {
+func decodeAddress(b []byte) (netip.AddrPort, error) {
 	var a netip.AddrPort
 	if err := a.UnmarshalBinary(b); err != nil {
-		return netip.AddrPort{}, fmt.Errorf("peer: address: %w", err)
+		return netip.AddrPort{}, fmt.Errorf("peer: decode address: %w", err)
 	}
 	return a, nil
 }
 
 func memberMessage(m fleet.Member) *peerpb.Member {
 	return &peerpb.Member{
-		Address:     addressBytes(m.Address),
-		Peer:        addressBytes(m.Peer),
+		Address:     encodeAddress(m.Address),
+		Peer:        encodeAddress(m.Peer),
 		Zone:        m.Zone,
 		Incarnation: uint64(m.Incarnation),
 		Beat:        m.Beat,
@@ -62,12 +62,12 @@
 	return messages
 }
 
-func memberOf(m *peerpb.Member) (fleet.Member, error) {
-	address, err := addressOf(m.GetAddress())
+func decodeMember(m *peerpb.Member) (fleet.Member, error) {
+	address, err := decodeAddress(m.GetAddress())
 	if err != nil {
 		return fleet.Member{}, err
 	}
-	peer, err := addressOf(m.GetPeer())
+	peer, err := decodeAddress(m.GetPeer())
 	if err != nil {
 		return fleet.Member{}, err
 	}
@@ -85,21 +85,21 @@
 	return member, member.Check()
 }
 
-// membersOf decodes the members of a heartbeat.
-func membersOf(messages []*peerpb.Member) ([]fleet.Member, error) {
+// decodeHeartbeatMembers decodes the members of a heartbeat.
+func decodeHeartbeatMembers(messages []*peerpb.Member) ([]fleet.Member, error) {
 	if len(messages) == 0 {
-		return nil, fmt.Errorf("peer: 0 members, want 1 to %d: %w", maxMembers, errNotANode)
+		return nil, fmt.Errorf("peer: 0 members, want 1 to %d: %w", maxMembers, errNoSender)
 	}
-	return membersUpTo(messages, maxMembers)
+	return decodeMembers(messages, maxMembers)
 }
 
-func membersUpTo(messages []*peerpb.Member, most int) ([]fleet.Member, error) {
-	if len(messages) > most {
-		return nil, fmt.Errorf("peer: %d members, at most %d are allowed", len(messages), most)
+func decodeMembers(messages []*peerpb.Member, limit int) ([]fleet.Member, error) {
+	if len(messages) > limit {
+		return nil, fmt.Errorf("peer: %d members, at most %d are allowed", len(messages), limit)
 	}
 	members := make([]fleet.Member, 0, len(messages))
 	for _, m := range messages {
-		member, err := memberOf(m)
+		member, err := decodeMember(m)
 		if err != nil {
 			return nil, err
 		}
@@ -108,13 +108,13 @@
 	return members, nil
 }
 
-func leavingOf(messages []*peerpb.LeavingServer) ([]fleet.Leaving, error) {
+func decodeLeaving(messages []*peerpb.LeavingServer) ([]fleet.Leaving, error) {
 	if len(messages) > maxLeaving {
 		return nil, fmt.Errorf("peer: %d leaving servers, at most %d are allowed", len(messages), maxLeaving)
 	}
 	servers := make([]fleet.Leaving, 0, len(messages))
 	for _, m := range messages {
-		address, err := addressOf(m.GetAddress())
+		address, err := decodeAddress(m.GetAddress())
 		if err != nil {
 			return nil, err
 		}
@@ -132,7 +132,7 @@
 	leaving := make([]*peerpb.LeavingServer, 0, len(news.Leaving))
 	for _, s := range news.Leaving {
 		age := uint32(min(s.Age.Milliseconds(), math.MaxUint32))
-		leaving = append(leaving, &peerpb.LeavingServer{Address: addressBytes(s.Address), Instance: s.Instance, AgeMs: age})
+		leaving = append(leaving, &peerpb.LeavingServer{Address: encodeAddress(s.Address), Instance: s.Instance, AgeMs: age})
 	}
 	return members, leaving
 }
@@ -145,7 +145,7 @@
 	return messages
 }
 
-func entriesOf(messages []*peerpb.Entry) []published.Entry {
+func decodeEntries(messages []*peerpb.Entry) []published.Entry {
 	entries := make([]published.Entry, 0, len(messages))
 	for _, m := range messages {
 		e := published.Entry{Key: m.GetKey(), Revision: m.GetRevision(), Removed: m.GetRemoved()}
@@ -169,14 +169,14 @@
 	return &peerpb.KeyVersion{Key: key, Revision: v.Revision, Digest: v.Digest, Bytes: uint64(v.Bytes)}
 }
 
-func versionOf(m *peerpb.KeyVersion) published.Version {
+func decodeVersion(m *peerpb.KeyVersion) published.Version {
 	return published.Version{Revision: m.GetRevision(), Digest: m.GetDigest(), Bytes: int(min(m.GetBytes(), maxMessageSize))}
 }
 
-func versionsOf(messages []*peerpb.KeyVersion) map[string]published.Version {
+func decodeVersions(messages []*peerpb.KeyVersion) map[string]published.Version {
 	versions := make(map[string]published.Version, len(messages))
 	for _, m := range messages {
-		versions[m.GetKey()] = versionOf(m)
+		versions[m.GetKey()] = decodeVersion(m)
 	}
 	return versions
 }
--- a/internal/peer/direct.go
+++ b/internal/peer/direct.go
@@ -18,44 +18,44 @@
 )
 
 const (
-	// directCopies is how many of the hosts that read changes hand them to each host, so
-	// that one may be down.
+	// directCopies is how many watchers push changes to each host, so that one of them may be
+	// down.
 	directCopies = 2
-	// packFrom is the size from which entries are compressed.
-	packFrom = 1 << 10
+	// compressThreshold is the total size of entries from which they are compressed.
+	compressThreshold = 1 << 10
 )
 
-// teller gathers the entries of one space that are to be told directly while others are
-// being sent. It is safe for concurrent use.
-type teller struct {
-	mu      sync.Mutex
-	waiting map[string]published.Entry
-	// after and through are between which revisions they are all changes.
+// changeQueue collects the entries of one space that are to be pushed directly while an earlier
+// batch is being sent. It is safe for concurrent use.
+type changeQueue struct {
+	mu     sync.Mutex
+	queued map[string]published.Entry
+	// after and through: the queue has all changes after the first up to the second revision.
 	after, through uint64
 	sending        bool
 }
 
-// Changes are all small changes of a space after one revision through another.
+// Changes are all small changes of a space after revision After up to Through.
 type Changes struct {
 	After   uint64
 	Through uint64
 	Entries []published.Entry
 }
 
-// add takes changes in and reports whether the caller is to send them.
-func (t *teller) add(c Changes) bool {
+// add queues changes and reports whether the caller must start to send.
+func (t *changeQueue) add(c Changes) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.waiting == nil {
-		t.waiting = make(map[string]published.Entry)
+	if t.queued == nil {
+		t.queued = make(map[string]published.Entry)
 	}
-	if len(t.waiting) == 0 {
+	if len(t.queued) == 0 {
 		t.after = c.After
 	}
 	t.through = max(t.through, c.Through)
 	for _, e := range c.Entries {
-		if old, ok := t.waiting[e.Key]; !ok || e.Version().Compare(old.Version()) > 0 {
-			t.waiting[e.Key] = e
+		if old, ok := t.queued[e.Key]; !ok || e.Version().Compare(old.Version()) > 0 {
+			t.queued[e.Key] = e
 		}
 	}
 	first := !t.sending
@@ -63,68 +63,69 @@
 	return first
 }
 
-// take returns what waits; with none the sending ends.
-func (t *teller) take() Changes {
+// drain removes and returns the queued changes. Sending ends when there are none.
+func (t *changeQueue) drain() Changes {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	entries := slices.SortedFunc(maps.Values(t.waiting), func(a, b published.Entry) int { return a.Version().Compare(b.Version()) })
-	clear(t.waiting)
+	entries := slices.SortedFunc(maps.Values(t.queued), func(a, b published.Entry) int { return a.Version().Compare(b.Version()) })
+	clear(t.queued)
 	t.sending = len(entries) > 0
 	return Changes{After: t.after, Through: t.through, Entries: entries}
 }
 
-// TellDirect hands the small ones of the changes that this host has read to those hosts
-// that it tells among watchers, the hosts that read them. Each host is told by directCopies of the
-// watchers, in one step and one message a batch; passed on at random each would get
-// several times as many. Each host to which a change is news hands it to one other, for
-// those whose watchers cannot read; whoever is missed finds the difference with a heartbeat.
+// TellDirect pushes the small entries among changes that this host read from the publisher to its
+// share of the fleet. watchers are the hosts that read changes. Each other host gets a change from
+// directCopies watchers, in one step and one message per batch; random gossip would send it
+// several times as many messages. Each host to which a change is new relays it to one other
+// host, for hosts whose watchers cannot read. A host that was missed detects the difference by
+// heartbeat.
 func (g *Gossip) TellDirect(space peerpb.Space, c Changes, watchers []fleet.Member) {
-	t := g.tellers[space]
+	t := g.changeQueues[space]
 	c.Entries = slices.DeleteFunc(slices.Clone(c.Entries), func(e published.Entry) bool { return e.Version().Large() })
 	if t == nil || len(c.Entries) == 0 || !t.add(c) {
 		return
 	}
 	go func() {
-		for batch := t.take(); len(batch.Entries) > 0; batch = t.take() {
-			g.tellBatch(space, batch, g.share(watchers))
+		for batch := t.drain(); len(batch.Entries) > 0; batch = t.drain() {
+			g.pushBatch(space, batch, g.directTargets(watchers))
 		}
 	}()
 }
 
-// share returns the addresses of the hosts that this one tells.
-func (g *Gossip) share(watchers []fleet.Member) []netip.AddrPort {
+// directTargets returns the peer addresses of the hosts to which this host pushes changes.
+func (g *Gossip) directTargets(watchers []fleet.Member) []netip.AddrPort {
 	self := g.options.View.Self().Address
-	var tellers []owner.Peer
+	var watcherPeers []owner.Peer
 	reads := make(map[netip.AddrPort]bool)
 	for _, w := range watchers {
-		tellers = append(tellers, owner.Peer{Address: w.Address, Capacity: w.Capacity})
+		watcherPeers = append(watcherPeers, owner.Peer{Address: w.Address, Capacity: w.Capacity})
 		reads[w.Address] = true
 	}
 	var addresses []netip.AddrPort
-	for _, p := range owner.Eligible(tellers) {
+	for _, p := range owner.Eligible(watcherPeers) {
 		addresses = append(addresses, p.Address)
 	}
-	var share []netip.AddrPort
+	var directTargets []netip.AddrPort
 	for _, m := range g.options.View.Members() {
 		if m.State == fleet.StateGone || reads[m.Address] {
 			continue
 		}
 		if slices.Contains(owner.Top(addresses, m.Address.String(), directCopies), self) {
-			share = append(share, m.Peer)
+			directTargets = append(directTargets, m.Peer)
 		}
 	}
-	return share
+	return directTargets
 }
 
-// tellBatch sends changes to all of some hosts at the same time, and waits for them.
-func (g *Gossip) tellBatch(space peerpb.Space, c Changes, peers []netip.AddrPort) {
+// pushBatch pushes changes to all given peers concurrently and waits for the calls.
+func (g *Gossip) pushBatch(space peerpb.Space, c Changes, peers []netip.AddrPort) {
 	request, err := pushRequest(space, c.Entries)
 	if err != nil {
-		g.options.Log.WithError(err).Warn("entries could not be packed")
+		g.options.Log.WithError(err).Warn("cannot compress entries")
 		return
 	}
 	request.Direct, request.After, request.Through = true, c.After, c.Through
-	ctx, cancel := context.WithTimeout(g.ctx, directFor)
+	ctx, cancel := context.WithTimeout(g.ctx, directTimeout)
 	defer cancel()
 	var all sync.WaitGroup
 	for _, p := range peers {
@@ -138,30 +139,30 @@
 	g.options.Scope.Counter("tells").Inc(int64(len(peers)))
 }
 
-// relay hands entries that were news to one other host. Those whose watchers cannot read
-// get them so, by some hosts in turn.
+// relay pushes entries that were new to this host to one other host, so that hosts whose watchers
+// cannot read the publisher get them too.
 func (g *Gossip) relay(space peerpb.Space, entries []published.Entry) {
 	if len(entries) == 0 {
 		return
 	}
 	request, err := pushRequest(space, entries)
 	if err != nil {
-		g.options.Log.WithError(err).Warn("entries could not be packed")
+		g.options.Log.WithError(err).Warn("cannot compress entries")
 		return
 	}
-	for _, m := range g.pick(1, netip.AddrPort{}) {
+	for _, m := range g.pickLive(1, netip.AddrPort{}) {
 		g.enqueue(func(ctx context.Context) {
-			ctx, cancel := context.WithTimeout(ctx, callFor)
+			ctx, cancel := context.WithTimeout(ctx, callTimeout)
 			defer cancel()
 			_, _ = g.client(m.Peer).Push(ctx, request)
 		})
 	}
 }
 
-// pushRequest has entries, compressed where they are not few.
+// pushRequest returns a push of entries, compressed from compressThreshold on.
 func pushRequest(space peerpb.Space, entries []published.Entry) (*peerpb.PushRequest, error) {
 	request := &peerpb.PushRequest{Space: space}
-	if bytesOf(entries) < packFrom {
+	if entryBytes(entries) < compressThreshold {
 		request.Entries = entryMessages(entries)
 		return request, nil
 	}
@@ -170,6 +171,6 @@
 	return request, err
 }
 
-// directFor bounds the time for which one batch holds up the next: a host that does not
-// answer by then finds the difference with a heartbeat.
-const directFor = 300 * time.Millisecond
+// directTimeout bounds the time for which one batch delays the next. A host that does not answer
+// in that time detects the difference by heartbeat.
+const directTimeout = 300 * time.Millisecond
--- a/internal/peer/doc.go
+++ b/internal/peer/doc.go
@@ -1,21 +1,23 @@
 // Copyright 2026 The Wingvale Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package peer is what the nodes of one fleet say to each other: a heartbeat
-// with one other node a second, which carries news of members and leaving
-// backend servers and compares what both hold of the published values, and the
-// exchange of what one of them lacks.
+// Package peer implements the protocol between the nodes of a fleet: periodic heartbeats that
+// gossip membership and leaving backend servers, and anti-entropy of published values.
 //
-// How a published value gets from the node that read it to the others: Spread
-// pushes small entries to a few nodes, and advertises large ones, and small ones
-// that are many. Who is told of an entry that it lacks asks for it: small ones by
-// Fetch; a large one by a pull, from one node at a time, part by part, as the
-// difference from what it holds, within its share of the link. What came in is
-// spread on. Heartbeats find what was missed: two nodes whose summaries differ
-// synchronise, which asks for what one lacks and tells what the other lacks in the
-// same ways. Whether there is anything newer only the publisher knows: Confirm has
-// a node that watches it look.
+// Every second a node exchanges a heartbeat with one other node. The heartbeat carries news of
+// members and of leaving backend servers, and summaries by which the two nodes compare the
+// published values that they hold.
 //
-// The cost per node does not grow with the fleet: one heartbeat sent and about
-// one received a second, each of a bounded size.
+// A published value travels from the node that read it to the others as follows. Spread pushes
+// small entries to a few nodes. It advertises large entries, and small entries whose total is
+// large. A node that lacks an advertised entry requests it: small entries by Fetch, a large
+// entry by a pull. A pull reads from one node at a time, part by part, as a delta against the
+// entry that the node holds, within a share of the link. A node spreads the entries that it
+// received in turn. Heartbeats repair what was missed: two nodes whose summaries differ
+// synchronise, which requests the entries that the node lacks, and pushes or advertises those
+// that its peer lacks. Only the publisher knows whether there is a newer revision: Confirm makes
+// a node that watches the publisher check.
+//
+// The cost per node does not grow with the fleet: a node sends one heartbeat a second and
+// receives about one, each of bounded size.
 package peer
--- a/internal/peer/elect.go
+++ b/internal/peer/elect.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	// largeShare of the largest capacity of an availability zone makes a host a
-	// large one: reading a value of 1 MB from the publisher takes a link of 10
-	// Mbit/s for 1.1 s.
+	// largeShare is the share of the largest capacity in an availability zone from which a host
+	// counts as large. Large hosts are preferred, since reading a value of 1 MB from the
+	// publisher occupies a link of 10 Mbit/s for 1.1 s.
 	largeShare = 0.5
-	// smallElected hosts are elected beside the large ones, so that they do not
-	// all fail together.
+	// smallElected is how many small hosts are elected in addition to large ones, so that not
+	// all elected hosts fail together.
 	smallElected = 1
 )
 
-// Elected reports whether the node itself is one of the count live nodes of its
-// availability zone that own key. Nodes with different views may both say so.
+// Elected reports whether this node is one of the count live nodes of its availability zone that
+// own key. More than count nodes may be elected while views differ.
 func Elected(view *fleet.View, key string, count int) bool {
 	self := view.Self()
 	for _, m := range elected(candidates(view)[self.Zone], key, count) {
@@ -34,8 +34,8 @@
 	return false
 }
 
-// ElectedEverywhere returns the live nodes that own key, count of each
-// availability zone, those of the node's own first. The node itself may be one.
+// ElectedEverywhere returns the live nodes that own key, count of each availability zone, those
+// of this node's zone first. The node itself may be among them.
 func ElectedEverywhere(view *fleet.View, key string, count int) []fleet.Member {
 	self := view.Self()
 	zones := candidates(view)
@@ -48,8 +48,8 @@
 	return all
 }
 
-// candidates returns, by availability zone, the live nodes that the publisher
-// answers, or all live ones where it answers none. The node itself is included.
+// candidates returns, by availability zone, the live nodes that can read the publisher, or all
+// live nodes if none can. They include this node.
 func candidates(view *fleet.View) map[string][]fleet.Member {
 	live := []fleet.Member{view.Self()}
 	for _, m := range view.Members() {
@@ -68,18 +68,17 @@
 	return zones
 }
 
-// elected returns count of the nodes of one availability zone: large ones, but
-// for smallElected.
+// elected returns count nodes of one availability zone: large ones except for smallElected.
 func elected(nodes []fleet.Member, key string, count int) []fleet.Member {
-	large, small := bySize(nodes)
+	large, small := splitByCapacity(nodes)
 	fromLarge := max(count-smallElected, 1)
 	if len(small) == 0 || len(large) < fromLarge {
-		return top(nodes, key, count)
+		return topMembers(nodes, key, count)
 	}
-	return append(top(large, key, fromLarge), top(small, key, count-fromLarge)...)
+	return append(topMembers(large, key, fromLarge), topMembers(small, key, count-fromLarge)...)
 }
 
-func top(nodes []fleet.Member, key string, count int) []fleet.Member {
+func topMembers(nodes []fleet.Member, key string, count int) []fleet.Member {
 	byAddress := make(map[netip.AddrPort]fleet.Member, len(nodes))
 	addresses := make([]netip.AddrPort, 0, len(nodes))
 	for _, m := range nodes {
@@ -93,7 +92,7 @@
 	return members
 }
 
-func bySize(nodes []fleet.Member) (large, small []fleet.Member) {
+func splitByCapacity(nodes []fleet.Member) (large, small []fleet.Member) {
 	largest := 0
 	for _, m := range nodes {
 		largest = max(largest, m.Capacity)
--- a/internal/peer/elect_test.go
+++ b/internal/peer/elect_test.go
@@ -16,8 +16,8 @@
 	"github.com/wingvale/wingvale/internal/peer"
 )
 
-// electedByAll reports whether a host that does not tell sizes watches: it takes all
-// hosts of its availability zone for candidates, whatever their size.
+// electedByAll reports whether self watches under the rule of the earlier release, which does not
+// report capacities: all hosts of the availability zone are candidates, whatever their size.
 func electedByAll(all []fleet.Member, self fleet.Member, key string, count int) bool {
 	var zone []netip.AddrPort
 	for _, m := range all {
@@ -28,9 +28,9 @@
 	return slices.Contains(owner.Top(zone, key, count), self.Address)
 }
 
-// While the small hosts were upgraded and the large ones were not yet, nobody
-// watched: the small ones left it to the large ones, which did not know of it.
-func TestSomebodyWatchesWhileTheFleetIsUpgraded(t *testing.T) {
+// Guards against an upgrade that leaves no watcher: the upgraded small hosts relied on the large
+// hosts to watch, which had not been upgraded and did not know of it.
+func TestElectionLeavesWatchersDuringUpgrade(t *testing.T) {
 	const (
 		perZone, large = 29, 2
 		watchers       = 3
@@ -43,7 +43,7 @@
 	}
 }
 
-// fleetOf returns the members of a fleet of three zones, large ones first in each.
+// fleetOf returns the members of a fleet of three zones, the large ones first in each zone.
 func fleetOf(number byte, perZone, large int) []fleet.Member {
 	var all []fleet.Member
 	for z, zone := range []string{"a", "b", "c"} {
@@ -62,8 +62,8 @@
 	return all
 }
 
-// watchingOf returns how many of a fleet watch, the large ones by the rule of the
-// release before.
+// watchingOf returns how many members of a fleet watch. Large ones use the rule of the earlier
+// release.
 func watchingOf(all []fleet.Member, key string, count int) int {
 	now := time.Now()
 	watching := 0
--- a/internal/peer/ends.go
+++ b/internal/peer/ends.go
@@ -16,36 +16,36 @@
 	"github.com/wingvale/wingvale/internal/suspect"
 )
 
-// Suspects is what a node knows of backend servers that ended under requests. It is
-// safe for concurrent use.
+// Suspects records which backend servers failed while they served which requests. It is safe
+// for concurrent use.
 type Suspects interface {
-	// Sum is the same for nodes that know the same.
+	// Sum is equal on nodes that know the same ends.
 	Sum() uint64
-	// Ends returns all that is known.
+	// Ends returns all known ends.
 	Ends() []suspect.End
-	// Merge takes in what another node knows and returns what was new.
+	// Merge adds the ends that another node knows and returns those that were new.
 	Merge(ends []suspect.End) []suspect.End
-	// Begin begins a try of a request for another node, unless there is one, and End
-	// ends it.
+	// Begin starts a try of a request on behalf of another node, unless one is running, and
+	// End finishes it.
 	Begin(digest suspect.Digest) bool
 	End(digest suspect.Digest)
 }
 
 const (
-	// gatherFor is how long ends are gathered before they are handed on: when a server
-	// ends, all that lay there is found within some milliseconds.
-	gatherFor = 20 * time.Millisecond
-	// endRate and endBurst bound the ends that a node tells others with the whole of
-	// what it knows, 28 bytes each: those that dropped the oldest of too many would
-	// else be told of them with each heartbeat.
+	// batchWindow is how long ends are collected before they are sent: when a server fails,
+	// the failures of all its requests are detected within some milliseconds.
+	batchWindow = 20 * time.Millisecond
+	// endRate and endBurst limit the ends that a node sends in full synchronisations, of 28
+	// bytes each. Without a limit, nodes that dropped the oldest of too many ends would
+	// receive them again with each heartbeat.
 	endRate  = 1000
 	endBurst = 2 * suspect.EndsMost
-	// tryAskFor bounds a question for a try. The owner answers at once.
-	tryAskFor = 100 * time.Millisecond
+	// tryTimeout bounds a request for a try. The owner answers at once.
+	tryTimeout = 100 * time.Millisecond
 )
 
-// SpreadEnds hands ends that were new here to a few peers, who do the same. So 300
-// nodes hear of them in six rounds; who is missed finds the difference with its next
+// SpreadEnds sends ends that were new to this node to a few peers, which do the same. So they
+// reach 300 nodes in six rounds. A node that was missed detects the difference at its next
 // heartbeat.
 func (g *Gossip) SpreadEnds(ends []suspect.End) {
 	if len(ends) == 0 {
@@ -53,102 +53,102 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if len(g.gathered) == 0 {
-		time.AfterFunc(gatherFor, g.spreadGathered)
+	if len(g.pendingEnds) == 0 {
+		time.AfterFunc(batchWindow, g.spreadPendingEnds)
 	}
-	if len(g.gathered) < suspect.EndsMost {
-		g.gathered = append(g.gathered, ends...)
+	if len(g.pendingEnds) < suspect.EndsMost {
+		g.pendingEnds = append(g.pendingEnds, ends...)
 	}
 }
 
-func (g *Gossip) spreadGathered() {
+func (g *Gossip) spreadPendingEnds() {
 	g.mu.Lock()
-	ends := g.gathered
-	g.gathered = nil
+	ends := g.pendingEnds
+	g.pendingEnds = nil
 	g.mu.Unlock()
 	request := &peerpb.EndsRequest{Ends: endMessages(time.Now(), ends[:min(len(ends), suspect.EndsMost)])}
-	for _, m := range g.pick(Fanout, netip.AddrPort{}) {
-		g.enqueue(func(ctx context.Context) { _, _ = g.tellEnds(ctx, m.Peer, request) })
+	for _, m := range g.pickLive(Fanout, netip.AddrPort{}) {
+		g.enqueue(func(ctx context.Context) { _, _ = g.sendEnds(ctx, m.Peer, request) })
 	}
 }
 
-func (g *Gossip) tellEnds(ctx context.Context, address netip.AddrPort, request *peerpb.EndsRequest) (*peerpb.EndsReply, error) {
-	ctx, cancel := context.WithTimeout(ctx, callFor)
+func (g *Gossip) sendEnds(ctx context.Context, address netip.AddrPort, request *peerpb.EndsRequest) (*peerpb.EndsReply, error) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	return g.client(address).Ends(ctx, request)
 }
 
-// noteEnds makes this node and a peer know the same ends, of which sum is the peer's.
-func (g *Gossip) noteEnds(address netip.AddrPort, sum uint64) {
+// reconcileEnds exchanges ends with a peer if sum, the peer's sum, differs from this node's.
+func (g *Gossip) reconcileEnds(address netip.AddrPort, sum uint64) {
 	suspects := g.options.Suspects
 	if suspects == nil || suspects.Sum() == sum {
-		g.hear()
+		g.markEndsKnown()
 		return
 	}
-	if !g.endLevels.AllowN(time.Now(), len(suspects.Ends())+1) {
+	if !g.endsLimiter.AllowN(time.Now(), len(suspects.Ends())+1) {
 		g.options.Scope.Counter("ends_put_off").Inc(1)
 		return
 	}
 	g.options.Scope.Counter("ends_levelled").Inc(1)
 	g.enqueue(func(ctx context.Context) {
-		if err := g.levelEnds(ctx, address); err != nil {
-			// The heartbeat was answered; the next one finds the same difference.
-			g.options.Log.WithError(err).WithField("peer", address).Debug("ends of backend servers were not told")
+		if err := g.syncEnds(ctx, address); err != nil {
+			// The heartbeat succeeded; the next one detects the same difference.
+			g.options.Log.WithError(err).WithField("peer", address).Debug("cannot exchange ends of backend servers with peer")
 		}
 	})
 }
 
-// levelEnds makes this node and a peer know the same ends.
-func (g *Gossip) levelEnds(ctx context.Context, address netip.AddrPort) error {
+// syncEnds exchanges all ends with a peer, so that both know the same.
+func (g *Gossip) syncEnds(ctx context.Context, address netip.AddrPort) error {
 	if g.options.Suspects == nil {
 		return nil
 	}
 	request := &peerpb.EndsRequest{Ends: endMessages(time.Now(), g.options.Suspects.Ends()), All: true}
-	reply, err := g.tellEnds(ctx, address, request)
+	reply, err := g.sendEnds(ctx, address, request)
 	if err != nil {
 		return err
 	}
-	g.takeEnds(reply.GetEnds())
-	g.hear()
+	g.mergeEnds(reply.GetEnds())
+	g.markEndsKnown()
 	return nil
 }
 
-// Heard is closed once this node knows the ends that another one knew.
+// Heard returns a channel that is closed once this node knows the ends of some other node.
 func (g *Gossip) Heard() <-chan struct{} {
-	return g.heard
+	return g.endsKnown
 }
 
-func (g *Gossip) hear() {
-	g.hearing.Do(func() { close(g.heard) })
+func (g *Gossip) markEndsKnown() {
+	g.endsKnownOnce.Do(func() { close(g.endsKnown) })
 }
 
-// takeEnds takes in ends from a peer and hands on those that are new.
-func (g *Gossip) takeEnds(messages []*peerpb.End) {
-	g.SpreadEnds(g.options.Suspects.Merge(endsOf(time.Now(), messages)))
+// mergeEnds merges ends from a peer and spreads those that are new.
+func (g *Gossip) mergeEnds(messages []*peerpb.End) {
+	g.SpreadEnds(g.options.Suspects.Merge(decodeEnds(time.Now(), messages)))
 }
 
-// AskTry asks a node to allow a try of a request.
+// AskTry asks a node for permission to try a suspected request.
 func (g *Gossip) AskTry(ctx context.Context, address netip.AddrPort, digest suspect.Digest) (bool, error) {
-	ctx, cancel := context.WithTimeout(ctx, tryAskFor)
+	ctx, cancel := context.WithTimeout(ctx, tryTimeout)
 	defer cancel()
 	reply, err := g.client(address).Try(ctx, &peerpb.TryRequest{Request: uint64(digest)})
 	if err != nil {
-		return false, fmt.Errorf("peer: ask for a try: %w", err)
+		return false, fmt.Errorf("peer: request a try: %w", err)
 	}
 	return reply.GetGranted(), nil
 }
 
-// TellTry tells a node that a try that it allowed is over.
+// TellTry notifies a node that a try that it granted is over.
 func (g *Gossip) TellTry(address netip.AddrPort, digest suspect.Digest) {
 	g.enqueue(func(ctx context.Context) {
-		ctx, cancel := context.WithTimeout(ctx, tryAskFor)
+		ctx, cancel := context.WithTimeout(ctx, tryTimeout)
 		defer cancel()
-		// Where it is not told, the try ends by itself.
+		// If the notification is lost, the try expires on the owner.
 		_, _ = g.client(address).Try(ctx, &peerpb.TryRequest{Request: uint64(digest), Over: true})
 	})
 }
 
-// Ends takes in ends, and returns all where it is asked to.
+// Ends merges ends from a peer and returns all known ends if the peer asks for them.
 func (s *service) Ends(_ context.Context, in *peerpb.EndsRequest) (*peerpb.EndsReply, error) {
 	g := s.g
 	if g.options.Suspects == nil {
@@ -157,15 +157,15 @@
 	if len(in.GetEnds()) > suspect.EndsMost {
 		return nil, twirp.InvalidArgumentError("ends", "too many")
 	}
-	g.takeEnds(in.GetEnds())
+	g.mergeEnds(in.GetEnds())
 	if !in.GetAll() {
 		return &peerpb.EndsReply{}, nil
 	}
-	g.hear()
+	g.markEndsKnown()
 	return &peerpb.EndsReply{Ends: endMessages(time.Now(), g.options.Suspects.Ends())}, nil
 }
 
-// Try begins or ends a try.
+// Try starts or finishes a try.
 func (s *service) Try(_ context.Context, in *peerpb.TryRequest) (*peerpb.TryReply, error) {
 	suspects := s.g.options.Suspects
 	if suspects == nil {
@@ -179,7 +179,7 @@
 	return &peerpb.TryReply{Granted: suspects.Begin(digest)}, nil
 }
 
-// endMessages tells ends by their age, since clocks of hosts differ.
+// endMessages encodes the time of ends as an age, since the clocks of hosts differ.
 func endMessages(now time.Time, ends []suspect.End) []*peerpb.End {
 	messages := make([]*peerpb.End, 0, len(ends))
 	for _, e := range ends {
@@ -191,7 +191,7 @@
 	return messages
 }
 
-func endsOf(now time.Time, messages []*peerpb.End) []suspect.End {
+func decodeEnds(now time.Time, messages []*peerpb.End) []suspect.End {
 	ends := make([]suspect.End, 0, len(messages))
 	for _, m := range messages {
 		ends = append(ends, suspect.End{
--- a/internal/peer/export_test.go
+++ b/internal/peer/export_test.go
@@ -3,5 +3,5 @@
 
 package peer
 
-// MembersOf is membersOf.
-var MembersOf = membersOf
+// DecodeHeartbeatMembers exposes decodeHeartbeatMembers to tests.
+var DecodeHeartbeatMembers = decodeHeartbeatMembers
--- a/internal/peer/gossip.go
+++ b/internal/peer/gossip.go
@@ -22,7 +22,7 @@
 	"github.com/wingvale/wingvale/internal/suspect"
 )
 
-// Options are a Gossip's dependencies; all but the times are needed.
+// Options configures a Gossip. All fields without a stated default are required.
 type Options struct {
 	View   *fleet.View
 	Spaces Spaces
@@ -30,94 +30,94 @@
 	Log    logrus.FieldLogger
 	Scope  tally.Scope
 	Random *rand.Rand
-	// Listed reports whether the host list has an entry host at the address.
+	// Listed reports whether the host list contains an entry host with the address.
 	Listed func(netip.AddrPort) bool
-	// Accepted is told of entries that came into force by a peer.
+	// Accepted is called with entries from a peer that came into force.
 	Accepted func(space peerpb.Space, entries []published.Entry)
-	// Leaving is told of each backend server that a peer newly knows to leave; nil where
-	// the node has no use for it.
+	// Leaving is called for each backend server of which a peer newly reported that it is
+	// leaving. It may be nil.
 	Leaving func(fleet.LeavingServer)
-	// Link is what the host's link carries in bytes a second, 0 for not told.
+	// Link is the bandwidth of the host's link in bytes a second; 0 means unknown.
 	Link float64
-	// Confirm looks whether the publisher has anything newer than the node, and
-	// reports whether it could tell; nil where the node does not read it.
+	// Confirm checks the publisher for entries newer than the node's, and reports whether the
+	// check succeeded. It is nil if the node does not read the publisher.
 	Confirm func(ctx context.Context, space peerpb.Space) bool
-	// Suspects has what is known of backend servers that ended under requests; nil
-	// where the node does not share it.
+	// Suspects records backend servers that failed while they served requests. It is nil if
+	// the node does not share them.
 	Suspects Suspects
-	// Direct reports whether hosts that read changes of a space hand them to all others,
-	// so that each passes them on but once; nil is that they don't.
+	// Direct reports whether hosts that read changes of a space push them to all others, so
+	// that each host relays them only once. Nil means false for every space.
 	Direct func(space peerpb.Space) bool
-	// Interval is the time between heartbeats.
+	// Interval is the mean time between heartbeats; 0 means DefaultInterval.
 	Interval time.Duration
 }
 
 const (
-	// DefaultInterval is the time between heartbeats.
-	DefaultInterval = time.Second
-	heartbeatFor    = 500 * time.Millisecond
-	probeFor        = time.Second
-	// confirmFor bounds a host's look at the publisher for another.
-	confirmFor = 400 * time.Millisecond
-	// callFor bounds one call for values, of which each has some 32 KB at most:
-	// 26 ms of a link of 10 Mbit/s. syncFor bounds a whole synchronisation.
-	callFor = time.Second
-	syncFor = 5 * time.Second
-	// helpers is how many others are asked to probe a silent member.
-	helpers = 2
-	// Fanout is how many peers get a new entry at once.
+	// DefaultInterval is the default mean time between heartbeats.
+	DefaultInterval  = time.Second
+	heartbeatTimeout = 500 * time.Millisecond
+	probeTimeout     = time.Second
+	// confirmTimeout bounds a check of the publisher by another host.
+	confirmTimeout = 400 * time.Millisecond
+	// callTimeout bounds one call for values, which transfers some 32 KB at most: 26 ms on a
+	// link of 10 Mbit/s. syncTimeout bounds a whole synchronisation.
+	callTimeout = time.Second
+	syncTimeout = 5 * time.Second
+	// probeHelpers is how many other nodes are asked to probe a silent member.
+	probeHelpers = 2
+	// Fanout is how many peers receive a new entry at once.
 	Fanout = 3
-	// goneEvery is the heartbeat, of so many, that tries a member taken for
-	// gone, so that two sides that were cut off find each other again.
-	goneEvery = 4
-	// neighboursMost is how many members a host contacts by turns. All of them are
-	// contacted within the time for which idle connections are kept.
-	neighboursMost = 32
-	// pending bounds the synchronisations and pushes that wait.
-	pending = 64
+	// goneProbeEvery is the number of heartbeats of which one goes to a member considered gone,
+	// so that both sides of a network partition find each other again.
+	goneProbeEvery = 4
+	// maxNeighbours is how many members a host contacts in rotation. A rotation is shorter than
+	// the time for which idle connections are kept.
+	maxNeighbours = 32
+	// maxQueuedWork bounds the queue of synchronisations and pushes.
+	maxQueuedWork = 64
 )
 
-// Gossip is one node's part of the talk. Run must be called once.
+// Gossip runs the peer protocol of one node. Run must be called once.
 type Gossip struct {
-	options Options
-	done    chan struct{}
-	work    chan func(ctx context.Context)
-	// ctx ends with Run; pulls go on until then.
+	options   Options
+	done      chan struct{}
+	workQueue chan func(ctx context.Context)
+	// ctx is cancelled when Run ends; pulls run until then.
 	ctx       context.Context
 	cancel    context.CancelFunc
 	pulls     *pulls
-	encodings *encodings
-	packed    *packedParts
-	// bulks has, for each space, a value while whole parts of it are being taken over.
-	bulks     map[peerpb.Space]chan struct{}
-	spreaders map[peerpb.Space]*spreader
-	tellers   map[peerpb.Space]*teller
-	behind    *behind
-	// sent and received pace large entries.
-	sent     *rate.Limiter
-	received *rate.Limiter
-	// quick paces quick heartbeats, and levels the members answered with.
-	quick  *rate.Limiter
-	levels *rate.Limiter
-	// endLevels paces the ends that are told as a whole.
-	endLevels *rate.Limiter
-	// heard is closed once another node's ends of servers are known here.
-	heard   chan struct{}
-	hearing sync.Once
-	// stirred has a value where the view changed or a peer's is different.
-	stirred chan struct{}
+	encodings *encodingCache
+	packed    *packedCache
+	// bulkSlots has a channel per space that holds a value while buckets are fetched whole.
+	bulkSlots    map[peerpb.Space]chan struct{}
+	spreadQueues map[peerpb.Space]*spreadQueue
+	changeQueues map[peerpb.Space]*changeQueue
+	lags         *lagTracker
+	// sendLimiter and receiveLimiter pace the transfer of entries.
+	sendLimiter    *rate.Limiter
+	receiveLimiter *rate.Limiter
+	// quickLimiter paces quick heartbeats, levelLimiter the members sent in Level replies.
+	quickLimiter *rate.Limiter
+	levelLimiter *rate.Limiter
+	// endsLimiter paces the ends sent in full synchronisations.
+	endsLimiter *rate.Limiter
+	// endsKnown is closed once this node knows the ends of some other node.
+	endsKnown     chan struct{}
+	endsKnownOnce sync.Once
+	// viewChanged holds a value if the view changed or differs from that of a peer.
+	viewChanged chan struct{}
 
 	mu sync.Mutex
-	// round has the members still to be contacted in this round.
+	// round has the members still to contact in the current rotation.
 	round []netip.AddrPort
-	// syncing has the peers and spaces being synchronised.
-	syncing map[syncKey]*synchronisation
-	random  *rand.Rand
-	beats   int
-	// gathered are ends that wait to be handed on together.
-	gathered []suspect.End
-	// tellsLeaving says that peers are about to be told of servers that leave.
-	tellsLeaving bool
+	// syncing has the running synchronisations by peer and space.
+	syncing    map[syncKey]*synchronisation
+	random     *rand.Rand
+	heartbeats int
+	// pendingEnds are ends that wait to be spread together.
+	pendingEnds []suspect.End
+	// leavingScheduled reports whether a heartbeat with leaving servers is scheduled.
+	leavingScheduled bool
 }
 
 // New returns a Gossip.
@@ -128,95 +128,95 @@
 	if options.Direct == nil {
 		options.Direct = func(peerpb.Space) bool { return false }
 	}
-	bulks := make(map[peerpb.Space]chan struct{})
-	spreaders := make(map[peerpb.Space]*spreader)
-	tellers := make(map[peerpb.Space]*teller)
+	bulkSlots := make(map[peerpb.Space]chan struct{})
+	spreadQueues := make(map[peerpb.Space]*spreadQueue)
+	changeQueues := make(map[peerpb.Space]*changeQueue)
 	for space := range options.Spaces {
-		bulks[space] = make(chan struct{}, 1)
-		spreaders[space] = &spreader{}
-		tellers[space] = &teller{}
+		bulkSlots[space] = make(chan struct{}, 1)
+		spreadQueues[space] = &spreadQueue{}
+		changeQueues[space] = &changeQueue{}
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Gossip{
-		options:   options,
-		done:      make(chan struct{}),
-		work:      make(chan func(context.Context), pending),
-		ctx:       ctx,
-		cancel:    cancel,
-		pulls:     newPulls(),
-		encodings: newEncodings(),
-		packed:    newPackedParts(),
-		bulks:     bulks,
-		spreaders: spreaders,
-		tellers:   tellers,
-		behind:    newBehind(),
-		sent:      newLimiter(options.Link),
-		received:  newLimiter(options.Link),
-		quick:     rate.NewLimiter(quickRate, quickBurst),
-		levels:    newLevelLimiter(),
-		endLevels: rate.NewLimiter(endRate, endBurst),
-		heard:     make(chan struct{}),
-		stirred:   make(chan struct{}, 1),
-		syncing:   make(map[syncKey]*synchronisation),
-		random:    options.Random,
+		options:        options,
+		done:           make(chan struct{}),
+		workQueue:      make(chan func(context.Context), maxQueuedWork),
+		ctx:            ctx,
+		cancel:         cancel,
+		pulls:          newPulls(),
+		encodings:      newEncodingCache(),
+		packed:         newPackedCache(),
+		bulkSlots:      bulkSlots,
+		spreadQueues:   spreadQueues,
+		changeQueues:   changeQueues,
+		lags:           newLagTracker(),
+		sendLimiter:    newLimiter(options.Link),
+		receiveLimiter: newLimiter(options.Link),
+		quickLimiter:   rate.NewLimiter(quickRate, quickBurst),
+		levelLimiter:   newLevelLimiter(),
+		endsLimiter:    rate.NewLimiter(endRate, endBurst),
+		endsKnown:      make(chan struct{}),
+		viewChanged:    make(chan struct{}, 1),
+		syncing:        make(map[syncKey]*synchronisation),
+		random:         options.Random,
 	}
 }
 
-// Done is closed when Run has returned.
+// Done returns a channel that is closed when Run has returned.
 func (g *Gossip) Done() <-chan struct{} {
 	return g.done
 }
 
-// workers is how many calls beside heartbeats go on at once: a call to a host that
-// is silent holds one for callFor, and news wait in line with it.
+// workers is the number of concurrent calls other than heartbeats. A call to a silent host
+// occupies a worker for callTimeout, and queued work waits for it.
 const workers = 16
 
-// Run sends heartbeats until ctx ends.
+// Run sends heartbeats until ctx is cancelled.
 func (g *Gossip) Run(ctx context.Context) {
 	defer close(g.done)
 	var all sync.WaitGroup
 	for range workers {
-		all.Go(func() { g.serve(ctx) })
+		all.Go(func() { g.runWorker(ctx) })
 	}
-	all.Go(func() { g.beat(ctx) })
+	all.Go(func() { g.heartbeatLoop(ctx) })
 	all.Wait()
 	g.pulls.stop(g.cancel)
 }
 
-func (g *Gossip) serve(ctx context.Context) {
+func (g *Gossip) runWorker(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case do := <-g.work:
+		case do := <-g.workQueue:
 			do(ctx)
 		}
 	}
 }
 
-func (g *Gossip) beat(ctx context.Context) {
+func (g *Gossip) heartbeatLoop(ctx context.Context) {
 	for {
-		quick, ok := g.pause(ctx)
+		quick, ok := g.waitForHeartbeat(ctx)
 		if !ok {
 			return
 		}
 		g.options.View.Tick(time.Now(), g.options.Listed)
-		if target, ok := g.next(quick); ok {
-			g.contact(ctx, target)
+		if target, ok := g.nextTarget(quick); ok {
+			g.checkMember(ctx, target)
 		}
 	}
 }
 
-// jitter returns a random time, on average mean.
+// jitter returns a random duration with the given mean.
 func (g *Gossip) jitter(mean time.Duration) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return mean/2 + time.Duration(g.random.Int64N(int64(mean)))
 }
 
-// contact sends a heartbeat to a member, straight or else by others, and
-// suspects it where neither is answered.
-func (g *Gossip) contact(ctx context.Context, address netip.AddrPort) {
+// checkMember sends a heartbeat to a member, and probes it indirectly if that fails. It marks the
+// member as suspect if neither is answered.
+func (g *Gossip) checkMember(ctx context.Context, address netip.AddrPort) {
 	m, ok := g.options.View.Of(address)
 	if !ok {
 		return
@@ -227,18 +227,18 @@
 		return
 	}
 	g.options.Scope.Counter("heartbeats_lost").Inc(1)
-	if m.State == fleet.StateGone || m.State == fleet.StateSuspect || g.probedByOthers(ctx, m) || ctx.Err() != nil {
+	if m.State == fleet.StateGone || m.State == fleet.StateSuspect || g.probeIndirectly(ctx, m) || ctx.Err() != nil {
 		return
 	}
-	g.options.Log.WithError(err).WithField("peer", m.Address).Warn("a node does not answer")
+	g.options.Log.WithError(err).WithField("peer", m.Address).Warn("peer did not answer heartbeat or indirect probes")
 	g.options.View.Suspect(time.Now(), m.Address)
 }
 
-func (g *Gossip) probedByOthers(ctx context.Context, m fleet.Member) bool {
-	for _, helper := range g.pick(helpers, m.Address) {
+func (g *Gossip) probeIndirectly(ctx context.Context, m fleet.Member) bool {
+	for _, helper := range g.pickLive(probeHelpers, m.Address) {
 		client := g.client(helper.Peer)
-		ctx, cancel := context.WithTimeout(ctx, probeFor)
-		reply, err := client.Probe(ctx, &peerpb.ProbeRequest{Peer: addressBytes(m.Peer)})
+		ctx, cancel := context.WithTimeout(ctx, probeTimeout)
+		reply, err := client.Probe(ctx, &peerpb.ProbeRequest{Peer: encodeAddress(m.Peer)})
 		cancel()
 		if err == nil && reply.GetAnswered() {
 			return true
@@ -257,48 +257,48 @@
 	return g.options.View.News(time.Now(), g.random)
 }
 
-// exchange sends one heartbeat to the node at the peer address.
+// exchange sends one heartbeat to the node at the peer address and merges the reply.
 func (g *Gossip) exchange(ctx context.Context, address netip.AddrPort) error {
 	members, leaving := newsMessages(g.news())
 	out := &peerpb.ExchangeRequest{Members: members, Leaving: leaving, Summaries: g.options.Spaces.summaries()}
-	in, err := g.heartbeat(ctx, address, out)
+	in, err := g.sendHeartbeat(ctx, address, out)
 	if err != nil {
 		return err
 	}
-	if err := g.takeNews(in.GetMembers(), in.GetLeaving()); err != nil {
+	if err := g.mergeNews(in.GetMembers(), in.GetLeaving()); err != nil {
 		return err
 	}
-	g.noteDiffering(in.GetMembers()[0], in.GetSummaries())
-	g.noteEnds(address, in.GetEnds())
+	g.reconcile(in.GetMembers()[0], in.GetSummaries())
+	g.reconcileEnds(address, in.GetEnds())
 	if err := g.level(ctx, address, in.GetView()); err != nil && ctx.Err() == nil {
-		// The heartbeat was answered; the next one finds the same difference.
-		g.options.Log.WithError(err).WithField("peer", address).Debug("views were not levelled")
+		// The heartbeat succeeded; the next one detects the same difference.
+		g.options.Log.WithError(err).WithField("peer", address).Debug("cannot level views with peer")
 	}
 	return nil
 }
 
-func (g *Gossip) heartbeat(ctx context.Context, address netip.AddrPort, out *peerpb.ExchangeRequest) (*peerpb.ExchangeReply, error) {
-	ctx, cancel := context.WithTimeout(ctx, heartbeatFor)
+func (g *Gossip) sendHeartbeat(ctx context.Context, address netip.AddrPort, out *peerpb.ExchangeRequest) (*peerpb.ExchangeReply, error) {
+	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
 	return g.client(address).Exchange(ctx, out)
 }
 
-var errNotANode = errors.New("peer: a message without its sender")
+var errNoSender = errors.New("peer: message without its sender")
 
-// takeNews merges news. The first member is the sender, heard from itself.
-func (g *Gossip) takeNews(in []*peerpb.Member, servers []*peerpb.LeavingServer) error {
-	members, err := membersOf(in)
+// mergeNews merges the news of a heartbeat. The first member is the sender itself.
+func (g *Gossip) mergeNews(in []*peerpb.Member, servers []*peerpb.LeavingServer) error {
+	members, err := decodeHeartbeatMembers(in)
 	if err != nil {
 		return err
 	}
-	leaving, err := leavingOf(servers)
+	leaving, err := decodeLeaving(servers)
 	if err != nil {
 		return err
 	}
 	now := time.Now()
-	heard := g.options.View.Heard(now, members[0])
-	if g.options.View.Merge(now, members[1:]...) || heard {
-		g.stir()
+	senderIsNew := g.options.View.Heard(now, members[0])
+	if g.options.View.Merge(now, members[1:]...) || senderIsNew {
+		g.notifyViewChanged()
 	}
 	for _, s := range leaving {
 		if !g.options.View.HeardLeaving(now, s) {
@@ -312,28 +312,28 @@
 	return nil
 }
 
-// enqueue hands work to the workers, or drops it where too much waits: the
-// next heartbeat finds the same difference again.
+// enqueue queues work for the workers, or drops it if the queue is full: the next heartbeat
+// detects the same difference again.
 func (g *Gossip) enqueue(do func(ctx context.Context)) {
 	select {
-	case g.work <- do:
+	case g.workQueue <- do:
 	default:
 		g.options.Scope.Counter("work_dropped").Inc(1)
 	}
 }
 
-// Announce sends a heartbeat to some peers at once, as when leaving.
-// One that does not answer holds up none of the others.
+// Announce sends a heartbeat to up to count random peers at once, for example when the node is
+// leaving. A peer that does not answer does not delay the others.
 func (g *Gossip) Announce(ctx context.Context, count int) {
 	var all sync.WaitGroup
-	for _, m := range g.pick(count, netip.AddrPort{}) {
+	for _, m := range g.pickLive(count, netip.AddrPort{}) {
 		all.Go(func() { _ = g.exchange(ctx, m.Peer) })
 	}
 	all.Wait()
 }
 
-// Meet sends a heartbeat to a peer address that the view may not have yet, and
-// reports whether it was answered.
+// Meet sends a heartbeat to a peer address that may not be in the view yet, and reports whether
+// it was answered.
 func (g *Gossip) Meet(ctx context.Context, address netip.AddrPort) bool {
 	return g.exchange(ctx, address) == nil
 }
--- /dev/null
+++ b/internal/peer/lag.go
@@ -0,0 +1,117 @@
+// Copyright 2026 The Wingvale Authors
+// SPDX-License-Identifier: Apache-2.0
+
+package peer
+
+import (
+	"context"
+	"net/netip"
+	"sync"
+	"time"
+
+	"github.com/wingvale/wingvale/internal/peer/peerpb"
+)
+
+const (
+	// lagCheckDelay is how long a host may lack entries that a peer has before it requests them,
+	// in spaces whose changes are pushed directly: they are probably on their way.
+	lagCheckDelay = 500 * time.Millisecond
+	// differsTimeout is how long the entries of a host may differ from those of its peers
+	// without a known gap before it compares them.
+	differsTimeout = 10 * time.Second
+)
+
+// lagTracker decides when a host to which all changes are pushed directly compares its entries
+// with those of a peer. Under constant change no two hosts ever hold the same entries, and a
+// comparison of all keys at each heartbeat costs hosts times servers. It is safe for concurrent
+// use.
+type lagTracker struct {
+	mu     sync.Mutex
+	spaces map[peerpb.Space]*spaceLag
+}
+
+// spaceLag is the difference between one space of this host and that of its peers.
+type spaceLag struct {
+	// checkRevision is the revision up to which a peer has every key, for which a check is
+	// scheduled; 0 means that no check is scheduled.
+	checkRevision uint64
+	// differsSince is the time from which each heartbeat found different entries; zero if the
+	// last heartbeat found equal ones.
+	differsSince time.Time
+}
+
+func newLagTracker() *lagTracker {
+	return &lagTracker{spaces: make(map[peerpb.Space]*spaceLag)}
+}
+
+func (b *lagTracker) lag(space peerpb.Space) *spaceLag {
+	d := b.spaces[space]
+	if d == nil {
+		d = &spaceLag{}
+		b.spaces[space] = d
+	}
+	return d
+}
+
+// markSame records that a peer holds the same entries.
+func (b *lagTracker) markSame(space peerpb.Space) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.lag(space).differsSince = time.Time{}
+}
+
+// differsTooLong records that a peer holds other entries and reports whether that has lasted for
+// differsTimeout. It then starts over.
+func (b *lagTracker) differsTooLong(now time.Time, space peerpb.Space) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	d := b.lag(space)
+	if d.differsSince.IsZero() {
+		d.differsSince = now
+	}
+	if now.Sub(d.differsSince) < differsTimeout {
+		return false
+	}
+	d.differsSince = now
+	return true
+}
+
+// startCheck records that a peer has every key up to revision other, and this host only up to
+// own. It reports whether the caller must check again after lagCheckDelay.
+func (b *lagTracker) startCheck(space peerpb.Space, own, other uint64) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	d := b.lag(space)
+	if d.checkRevision > 0 || other <= own {
+		return false
+	}
+	d.checkRevision = other
+	return true
+}
+
+// finishCheck ends a check and reports whether this host still lacks what the peer had.
+func (b *lagTracker) finishCheck(space peerpb.Space, own uint64) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	d := b.lag(space)
+	wanted := d.checkRevision
+	d.checkRevision = 0
+	return own < wanted
+}
+
+// checkLag synchronises with a peer that is ahead in spaces whose changes are pushed directly,
+// unless this host catches up within lagCheckDelay.
+func (g *Gossip) checkLag(address netip.AddrPort, summaries []*peerpb.Summary) {
+	for _, m := range summaries {
+		space := m.GetSpace()
+		store, err := g.options.Spaces.storeFor(space)
+		if err != nil || !g.options.Direct(space) || !g.lags.startCheck(space, store.Summary().Through, m.GetThrough()) {
+			continue
+		}
+		time.AfterFunc(lagCheckDelay, func() {
+			if g.lags.finishCheck(space, store.Summary().Through) && g.ctx.Err() == nil {
+				g.enqueue(func(ctx context.Context) { _, _ = g.synchronise(ctx, address, space) })
+			}
+		})
+	}
+}
--- a/internal/peer/leaving.go
+++ b/internal/peer/leaving.go
@@ -11,12 +11,12 @@
 	"github.com/wingvale/wingvale/internal/fleet"
 )
 
-// TellLeaving makes the node tell others at once that a run of a backend server leaves. One
-// whose name is beyond what messages take is not told of: peers would refuse the heartbeat
-// with it.
+// TellLeaving announces to peers at once that an instance of a backend server is leaving. It does
+// not announce an instance name that exceeds the limit of the protocol: peers would refuse the
+// heartbeat that contains it.
 func (g *Gossip) TellLeaving(s fleet.LeavingServer) {
 	if err := s.Check(); err != nil {
-		g.options.Log.WithError(err).Warn("a backend server that leaves can't be told of")
+		g.options.Log.WithError(err).Warn("cannot announce leaving backend server")
 		return
 	}
 	if g.options.View.MarkLeaving(time.Now(), s) {
@@ -24,21 +24,21 @@
 	}
 }
 
-// spreadLeaving sends heartbeats to a few peers, who do the same: with the usual ones alone
-// 94 of 100 nodes knew of a server after 2 s, and all so. What is learnt within gatherFor is
-// told together.
+// spreadLeaving sends heartbeats to a few peers, which do the same. With the periodic heartbeats
+// alone, 94 of 100 nodes knew of a leaving server after 2 s. Servers that become known within
+// batchWindow are announced together.
 func (g *Gossip) spreadLeaving() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.tellsLeaving {
+	if g.leavingScheduled {
 		return
 	}
-	g.tellsLeaving = true
-	time.AfterFunc(gatherFor, func() {
+	g.leavingScheduled = true
+	time.AfterFunc(batchWindow, func() {
 		g.mu.Lock()
-		g.tellsLeaving = false
+		g.leavingScheduled = false
 		g.mu.Unlock()
-		for _, m := range g.pick(Fanout, netip.AddrPort{}) {
+		for _, m := range g.pickLive(Fanout, netip.AddrPort{}) {
 			g.enqueue(func(ctx context.Context) { _ = g.exchange(ctx, m.Peer) })
 		}
 	})
--- a/internal/peer/leaving_test.go
+++ b/internal/peer/leaving_test.go
@@ -15,28 +15,28 @@
 	"github.com/wingvale/wingvale/internal/memnet"
 )
 
-// A node that learns from a server itself that it leaves may be the only one that can: with
-// the usual heartbeats alone, 94 of 100 nodes had heard of it 2 s later.
-func TestALeavingServerIsToldToAllWithinTwoSeconds(t *testing.T) {
-	talkers(t, 100, func(t *testing.T, _ *memnet.Network, all []*talker) {
+// A node that learns from a backend server that it is leaving may be the only one that can. With
+// periodic heartbeats alone, 94 of 100 nodes knew of it 2 s later.
+func TestLeavingServerReachesAllNodesWithinTwoSeconds(t *testing.T) {
+	runNodes(t, 100, func(t *testing.T, _ *memnet.Network, all []*testNode) {
 		time.Sleep(5 * time.Second)
 		server := fleet.LeavingServer{Address: netip.MustParseAddrPort("10.9.0.1:8080"), Instance: "i-1@5"}
 		all[0].gossip.TellLeaving(server)
 		time.Sleep(2 * time.Second)
-		told := 0
+		informed := 0
 		for _, n := range all {
 			if n.view.IsLeaving(server.Address, server.Instance) {
-				told++
+				informed++
 			}
 		}
-		assert.Equal(t, told, len(all))
+		assert.Equal(t, informed, len(all))
 	})
 }
 
-// A name longer than messages take made peers refuse the heartbeats with it, so that the
-// node counted as silent.
-func TestAServerWithTooLongANameIsNotToldOf(t *testing.T) {
-	talkers(t, 3, func(t *testing.T, _ *memnet.Network, all []*talker) {
+// Guards against a false suspicion: an instance name over the limit of the protocol made peers
+// refuse the heartbeats with it, so that they considered the node silent.
+func TestLeavingServerWithTooLongInstanceIsNotAnnounced(t *testing.T) {
+	runNodes(t, 3, func(t *testing.T, _ *memnet.Network, all []*testNode) {
 		time.Sleep(2 * time.Second)
 		all[0].gossip.TellLeaving(fleet.LeavingServer{
 			Address: netip.MustParseAddrPort("10.9.0.1:8080"), Instance: strings.Repeat("i", 150),
--- a/internal/peer/level.go
+++ b/internal/peer/level.go
@@ -15,52 +15,52 @@
 	"github.com/wingvale/wingvale/internal/peer/peerpb"
 )
 
-// Views are levelled where a heartbeat shows that two nodes hold different ones:
-// the parts that differ go each way once. While a node meets others that differ,
-// its heartbeats follow each other quickly. So what a fleet of 560 nodes knows
-// doubles with each round, and all know all some 1 s after they start together;
-// with 16 members a heartbeat a second they knew 0.08 of it after 2 s.
+// Two nodes level their views when a heartbeat shows that the views differ: each sends the other
+// the members of the buckets that differ, once. While a node finds differing views, it sends
+// heartbeats in quick succession. So the knowledge of a fleet of 560 nodes doubles with each
+// round, and all nodes know all others some 1 s after a simultaneous start. With one heartbeat of
+// 16 members a second, a node knew 0.08 of the fleet after 2 s.
 
 const (
-	// quickInterval is the mean time between heartbeats of a node that meets
-	// others with different views.
+	// quickInterval is the mean time between heartbeats of a node that finds peers with
+	// different views.
 	quickInterval = 50 * time.Millisecond
-	// quickBurst quick heartbeats may follow each other, which is twice what
-	// 560 nodes need that start together, and quickRate of them a second come
-	// after that, so that a fleet with changes all the time stays near its rest.
+	// quickBurst is how many quick heartbeats may follow each other: twice as many as 560
+	// nodes need that start together. After the burst quickRate of them are allowed a second,
+	// so that a fleet under constant change sends little more than a fleet at rest.
 	quickBurst = 20
 	quickRate  = 1
-	// levelMost bounds the members in one message: 50 KB.
-	levelMost = 1024
-	// levelRate and levelBurst bound the members that a node answers with: 0.2
-	// MB a second of its link. The first nodes that a fleet meets at its start
-	// are asked by all others; those turned away ask any other node.
-	levelRate  = 4000
-	levelBurst = 2 * levelMost
-	levelFor   = time.Second
+	// maxLevelMembers bounds the members in one message, 50 KB.
+	maxLevelMembers = 1024
+	// levelRate and levelBurst limit the members that a node sends in replies, to 0.2 MB a
+	// second of its link. When a fleet starts, all nodes query the first ones. Nodes that are
+	// turned away query any other node.
+	levelRate    = 4000
+	levelBurst   = 2 * maxLevelMembers
+	levelTimeout = time.Second
 )
 
 func newLevelLimiter() *rate.Limiter {
 	return rate.NewLimiter(levelRate, levelBurst)
 }
 
-// level makes this node's view and that of a peer equal, of which view is the
-// peer's total. A peer that tells none is left alone.
+// level levels this node's view with that of a peer whose total sum is view. It does nothing
+// for a peer that sends no sum, which is 0.
 func (g *Gossip) level(ctx context.Context, address netip.AddrPort, view uint64) error {
 	sums := g.options.View.Sums()
 	if view == 0 || sums.Total() == view {
 		return nil
 	}
-	g.stir()
+	g.notifyViewChanged()
 	g.options.Scope.Counter("views_levelled").Inc(1)
-	ctx, cancel := context.WithTimeout(ctx, levelFor)
+	ctx, cancel := context.WithTimeout(ctx, levelTimeout)
 	defer cancel()
 	client := g.client(address)
 	reply, err := client.Level(ctx, &peerpb.LevelRequest{Sums: sums[:]})
 	if err != nil || reply.GetBusy() {
 		return err
 	}
-	told, err := membersUpTo(reply.GetMembers(), levelMost)
+	reported, err := decodeMembers(reply.GetMembers(), maxLevelMembers)
 	if err != nil {
 		return err
 	}
@@ -68,25 +68,25 @@
 	if err != nil {
 		return err
 	}
-	beyond := fleet.Beyond(g.options.View.Differing(other), told)
-	g.options.View.Merge(time.Now(), told...)
-	if len(beyond) == 0 {
+	superseding := fleet.Beyond(g.options.View.Differing(other), reported)
+	g.options.View.Merge(time.Now(), reported...)
+	if len(superseding) == 0 {
 		return nil
 	}
-	_, err = client.Level(ctx, &peerpb.LevelRequest{Members: memberMessages(beyond[:min(len(beyond), levelMost)])})
+	_, err = client.Level(ctx, &peerpb.LevelRequest{Members: memberMessages(superseding[:min(len(superseding), maxLevelMembers)])})
 	return err
 }
 
-// Level answers with the members that differ, or takes members in.
+// Level merges the members of the caller, and returns those in buckets that differ from its sums.
 func (s *service) Level(_ context.Context, in *peerpb.LevelRequest) (*peerpb.LevelReply, error) {
 	g := s.g
-	members, err := membersUpTo(in.GetMembers(), levelMost)
+	members, err := decodeMembers(in.GetMembers(), maxLevelMembers)
 	if err != nil {
 		return nil, twirp.InvalidArgumentError("members", err.Error())
 	}
 	now := time.Now()
 	if g.options.View.Merge(now, members...) {
-		g.stir()
+		g.notifyViewChanged()
 	}
 	if len(in.GetSums()) == 0 {
 		return &peerpb.LevelReply{}, nil
@@ -96,8 +96,8 @@
 		return nil, twirp.InvalidArgumentError("sums", err.Error())
 	}
 	differing := g.options.View.Differing(sums)
-	differing = differing[:min(len(differing), levelMost)]
-	if !g.levels.AllowN(now, len(differing)) {
+	differing = differing[:min(len(differing), maxLevelMembers)]
+	if !g.levelLimiter.AllowN(now, len(differing)) {
 		g.options.Scope.Counter("levels_refused").Inc(1)
 		return &peerpb.LevelReply{Busy: true}, nil
 	}
@@ -105,32 +105,32 @@
 	return &peerpb.LevelReply{Members: memberMessages(differing), Sums: own[:]}, nil
 }
 
-// stir makes the next heartbeat a quick one.
-func (g *Gossip) stir() {
+// notifyViewChanged makes the next heartbeat a quick one.
+func (g *Gossip) notifyViewChanged() {
 	select {
-	case g.stirred <- struct{}{}:
+	case g.viewChanged <- struct{}{}:
 	default:
 	}
 }
 
-// pause waits for the time of the next heartbeat, and reports whether it is a
-// quick one; false for ok means that ctx has ended.
-func (g *Gossip) pause(ctx context.Context) (quick, ok bool) {
+// waitForHeartbeat waits until the next heartbeat is due and reports whether it is a quick one.
+// ok is false if ctx was cancelled.
+func (g *Gossip) waitForHeartbeat(ctx context.Context) (quick, ok bool) {
 	timer := time.NewTimer(g.jitter(g.options.Interval))
 	defer timer.Stop()
-	stirred := g.stirred
+	viewChanged := g.viewChanged
 	for {
 		select {
 		case <-ctx.Done():
 			return false, false
 		case <-timer.C:
 			return quick, true
-		case <-stirred:
-			if g.quick.Allow() {
+		case <-viewChanged:
+			if g.quickLimiter.Allow() {
 				quick = true
 				timer.Reset(g.jitter(quickInterval))
 			}
-			stirred = nil
+			viewChanged = nil
 		}
 	}
 }
--- a/internal/peer/many_test.go
+++ b/internal/peer/many_values_test.go
@@ -14,12 +14,12 @@
 	"github.com/wingvale/wingvale/internal/published"
 )
 
-// Many backend servers came back at once, each listed by a value of 250 bytes:
-// together as much as a configuration, which each host sent to three others,
-// whether they had it or not, and again at each heartbeat between two that held
-// different ones.
+// Guards against redundant transfers: many backend servers came back at once, each listed by a
+// value of 250 bytes. Together they were as large as a configuration, and each host sent them to
+// three others, whether those had them or not, and again at each heartbeat between two hosts that
+// held different ones.
 func TestManySmallValuesAreSentToEachNodeOnce(t *testing.T) {
-	talkers(t, 20, func(t *testing.T, network *memnet.Network, all []*talker) {
+	runNodes(t, 20, func(t *testing.T, network *memnet.Network, all []*testNode) {
 		const servers, size = 3000, 250
 		entries := make([]published.Entry, 0, servers)
 		for i := range servers {
@@ -34,7 +34,7 @@
 		}
 		after, _ := sent(network, all)
 		once := int64(servers * size * (len(all) - 1))
-		// Each entry comes once; its name and revision are told some times.
+		// Each entry is sent once; its key and version are advertised several times.
 		assert.Assert(t, after-before < 2*once, "%d bytes, where the nodes lack %d", after-before, once)
 	})
 }
--- a/internal/peer/spoilt_test.go
+++ b/internal/peer/mixed_encoding_test.go
@@ -16,13 +16,13 @@
 	"github.com/wingvale/wingvale/internal/published"
 )
 
-// A host two changes behind was sent the difference. A third change came in
-// between: the source had dropped what the difference was from, and went on with
-// parts of the whole value, which the asker put behind those of the difference.
-func TestAChangeDoesNotSpoilWhatIsBeingSent(t *testing.T) {
+// Guards against mixed encodings: a host two changes behind was being sent a delta when a third
+// change arrived. The source had dropped the base of the delta and continued with parts of the
+// whole value, which the receiver appended to those of the delta.
+func TestChangeDuringPullDoesNotMixEncodings(t *testing.T) {
 	scope := tally.NewTestScope("", nil)
 	small := func(o *peer.Options) { o.Link, o.Scope = smallLink, scope }
-	talkersWith(t, 2, small, func(t *testing.T, network *memnet.Network, all []*talker) {
+	runNodesWith(t, 2, small, func(t *testing.T, network *memnet.Network, all []*testNode) {
 		value := noise(800_000, 1)
 		next := func(changed int, seed uint64) []byte {
 			value = append(bytes.Clone(value[:len(value)-changed]), noise(changed, seed)...)
--- a/internal/peer/fleet_test.go
+++ b/internal/peer/nodes_test.go
@@ -28,37 +28,37 @@
 
 const (
 	space = peerpb.Space_SPACE_CONFIGURATION
-	// peerPort is where the nodes serve each other.
+	// peerPort is the port of the peer protocol.
 	peerPort = 8004
-	// key is the one value that the nodes hold.
+	// key is the key of the one value that the nodes hold.
 	key = "k"
 )
 
-// talker is one node of a small fleet.
-type talker struct {
+// testNode is one node of a small fleet.
+type testNode struct {
 	address netip.AddrPort
 	store   *published.Store[string]
 	view    *fleet.View
 	gossip  *peer.Gossip
 	client  *http.Client
-	// confirms is what the node answers to those who ask it to confirm.
+	// confirms is the result of the node's check of the publisher.
 	confirms bool
 }
 
-// talkers runs count nodes that know each other, in a bubble.
-func talkers(t *testing.T, count int, do func(t *testing.T, network *memnet.Network, all []*talker)) {
+// runNodes runs do with count nodes that know each other, in a synctest bubble.
+func runNodes(t *testing.T, count int, do func(t *testing.T, network *memnet.Network, all []*testNode)) {
 	t.Helper()
-	talkersWith(t, count, func(*peer.Options) {}, do)
+	runNodesWith(t, count, func(*peer.Options) {}, do)
 }
 
-// talkersWith is talkers with other options.
-func talkersWith(t *testing.T, count int, change func(*peer.Options), do func(t *testing.T, network *memnet.Network, all []*talker)) {
+// runNodesWith is like runNodes, with options changed by change.
+func runNodesWith(t *testing.T, count int, change func(*peer.Options), do func(t *testing.T, network *memnet.Network, all []*testNode)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		network := memnet.New(func(netip.Addr, netip.Addr) time.Duration { return time.Millisecond })
-		all := make([]*talker, count)
+		all := make([]*testNode, count)
 		for i := range all {
-			all[i] = newTalker(network, i, change)
+			all[i] = newTestNode(network, i, change)
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		defer func() {
@@ -68,7 +68,7 @@
 				<-n.gossip.Done()
 				n.client.CloseIdleConnections()
 			}
-			// Connections that were being made end too.
+			// Let pending connection attempts end too.
 			time.Sleep(time.Second)
 		}()
 		for _, n := range all {
@@ -91,14 +91,14 @@
 	})
 }
 
-// hostAddress is the address of host number i.
+// hostAddress returns the address of host number i.
 func hostAddress(i int) netip.Addr {
 	return netip.AddrFrom4([4]byte{10, 0, byte((i + 1) >> 8), byte(i + 1)})
 }
 
-func newTalker(network *memnet.Network, number int, change func(*peer.Options)) *talker {
+func newTestNode(network *memnet.Network, number int, change func(*peer.Options)) *testNode {
 	host := hostAddress(number)
-	n := &talker{
+	n := &testNode{
 		address: netip.AddrPortFrom(host, peerPort),
 		store:   published.New(func(_ string, data []byte) (string, error) { return string(data), nil }),
 	}
@@ -125,12 +125,12 @@
 	return n
 }
 
-// publish gives the node a value, as a read of the publisher does.
-func (n *talker) publish(revision uint64, value []byte) {
+// publish stores and spreads a value, as after a read from the publisher.
+func (n *testNode) publish(revision uint64, value []byte) {
 	n.gossip.Spread(space, n.store.Offer(published.Entry{Key: key, Revision: revision, Data: value}))
 }
 
-// lines is a value of so many lines, of which those from changed on bear mark.
+// lines returns a value of count lines. Those from number changed on end in mark.
 func lines(count, changed int, mark string) []byte {
 	var b bytes.Buffer
 	random := rand.New(rand.NewPCG(5, 5))
@@ -144,8 +144,8 @@
 	return b.Bytes()
 }
 
-// sent is how many bytes the nodes sent in all, and the one that sent most.
-func sent(network *memnet.Network, all []*talker) (sum, most int64) {
+// sent returns the bytes that all nodes sent, and the maximum of one node.
+func sent(network *memnet.Network, all []*testNode) (sum, most int64) {
 	hosts := make(map[netip.Addr]int64)
 	for flow, bytes := range network.Sent() {
 		if flow.Port == peerPort {
@@ -160,12 +160,12 @@
 	return sum, most
 }
 
-// A configuration of 0.9 MB was sent whole by each of 86 hosts to three others,
-// whether they had it or not, and again at each heartbeat between two that held
-// different ones. Links of 10 Mbit/s were full for 12 s at 0.06 of a processor,
-// requests waited behind it, and the last host had it 6.5 s after the store.
-func TestALargeValueIsSentToEachNodeOnce(t *testing.T) {
-	talkers(t, 20, func(t *testing.T, network *memnet.Network, all []*talker) {
+// Guards against redundant transfers: each of 86 hosts sent a configuration of 0.9 MB whole to
+// three others, whether they had it or not, and again at each heartbeat between two hosts with
+// different ones. Links of 10 Mbit/s were full for 12 s at a processor load of 0.06, requests
+// queued behind it, and the last host had the value 6.5 s after the store.
+func TestLargeValueIsSentToEachNodeOnce(t *testing.T) {
+	runNodes(t, 20, func(t *testing.T, network *memnet.Network, all []*testNode) {
 		value := lines(6000, 6000, "")
 		time.Sleep(5 * time.Second)
 		before, _ := sent(network, all)
@@ -181,8 +181,8 @@
 	})
 }
 
-func TestAChangeOfALargeValueIsSentAsItsDifference(t *testing.T) {
-	talkers(t, 20, func(t *testing.T, network *memnet.Network, all []*talker) {
+func TestLargeValueChangeIsSentAsDelta(t *testing.T) {
+	runNodes(t, 20, func(t *testing.T, network *memnet.Network, all []*testNode) {
 		const count = 6000
 		all[0].publish(1, lines(count, count, ""))
 		time.Sleep(5 * time.Second)
@@ -199,8 +199,8 @@
 	})
 }
 
-func TestAnotherNodeIsAskedWhereOneIsSilent(t *testing.T) {
-	talkers(t, 4, func(t *testing.T, network *memnet.Network, all []*talker) {
+func TestPullFallsBackFromSilentNode(t *testing.T) {
+	runNodes(t, 4, func(t *testing.T, network *memnet.Network, all []*testNode) {
 		value := lines(6000, 6000, "")
 		entry := published.Entry{Key: key, Revision: 1, Data: value}
 		all[0].store.Offer(entry)
@@ -214,8 +214,8 @@
 	})
 }
 
-func TestTheNewestOfManyChangesComesIntoForce(t *testing.T) {
-	talkers(t, 12, func(t *testing.T, network *memnet.Network, all []*talker) {
+func TestNewestOfManyChangesComesIntoForce(t *testing.T) {
+	runNodes(t, 12, func(t *testing.T, network *memnet.Network, all []*testNode) {
 		for revision := range uint64(10) {
 			all[revision].publish(revision+1, lines(6000, int(600*revision), fmt.Sprint(revision)))
 			time.Sleep(150 * time.Millisecond)
@@ -227,10 +227,11 @@
 	})
 }
 
-// A host refused a route as unknown that was in force elsewhere for 3.2 s: two
-// hosts that it asked were as far behind as itself.
-func TestOnlyANodeThatWatchesConfirms(t *testing.T) {
-	talkers(t, 3, func(t *testing.T, _ *memnet.Network, all []*talker) {
+// Guards against confirmation by hosts that are behind themselves: a host refused a route as
+// unknown that was in force elsewhere for 3.2 s, since the two hosts that it asked did not know
+// the route either.
+func TestOnlyWatchersConfirm(t *testing.T) {
+	runNodes(t, 3, func(t *testing.T, _ *memnet.Network, all []*testNode) {
 		watching := []fleet.Member{{Address: netip.AddrPortFrom(all[0].address.Addr(), 8001), Peer: all[0].address, Zone: "a"}}
 		all[0].store.Offer(published.Entry{Key: key, Revision: 1, Data: lines(6000, 6000, "")})
 		assert.Assert(t, !all[1].gossip.Confirm(t.Context(), space, watching), "the publisher did not answer the one that watches")
@@ -242,10 +243,10 @@
 	})
 }
 
-// inForceWithin is what a change may take.
+// inForceWithin is how long a change may take to reach all hosts.
 const inForceWithin = 3 * time.Second
 
-// noise is a value of so many bytes that nothing makes shorter.
+// noise returns a value of so many bytes that does not compress.
 func noise(bytes int, seed uint64) []byte {
 	random := rand.New(rand.NewPCG(seed, seed))
 	b := make([]byte, bytes)
@@ -255,5 +256,5 @@
 	return b
 }
 
-// smallLink is a link of 10 Mbit/s in bytes a second.
+// smallLink is the bandwidth of a link of 10 Mbit/s in bytes a second.
 const smallLink = 1.25e6
--- a/internal/peer/part.go
+++ b/internal/peer/part.go
@@ -15,16 +15,15 @@
 	"github.com/wingvale/wingvale/internal/published"
 )
 
-// encodedKept is how many encoded entries are kept for those who ask for further
-// parts, or for the same difference.
-const encodedKept = 4
+// encodingCacheSize is the number of encoded entries that are cached for requests for further
+// parts or for the same delta.
+const encodingCacheSize = 4
 
-// encodings has large entries as they were encoded for others. It is safe for
-// concurrent use.
-type encodings struct {
-	// mu makes those who ask at the same time wait for one encoding.
-	mu   sync.Mutex
-	kept *lru.Cache[encodingKey, []byte]
+// encodingCache caches large entries as encoded for other nodes. It is safe for concurrent use.
+type encodingCache struct {
+	// mu makes concurrent callers wait for one encoding.
+	mu    sync.Mutex
+	cache *lru.Cache[encodingKey, []byte]
 }
 
 type encodingKey struct {
@@ -32,38 +31,38 @@
 	base, version published.Version
 }
 
-func newEncodings() *encodings {
-	kept, err := lru.New[encodingKey, []byte](encodedKept)
+func newEncodingCache() *encodingCache {
+	cache, err := lru.New[encodingKey, []byte](encodingCacheSize)
 	if err != nil {
 		panic(err) // only for a size below one
 	}
-	return &encodings{kept: kept}
+	return &encodingCache{cache: cache}
 }
 
-// of returns an entry encoded against base, which may be empty.
-func (e *encodings) of(id pullKey, base, entry published.Entry) ([]byte, error) {
+// encode returns an entry encoded as a delta against base, which may be empty.
+func (e *encodingCache) encode(id pullKey, base, entry published.Entry) ([]byte, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	key := encodingKey{pullKey: id, base: base.Version(), version: entry.Version()}
-	if encoded, ok := e.kept.Get(key); ok {
+	if encoded, ok := e.cache.Get(key); ok {
 		return encoded, nil
 	}
 	encoded, err := delta.Encode(base.Data, entry.Data)
 	if err != nil {
 		return nil, err
 	}
-	e.kept.Add(key, encoded)
+	e.cache.Add(key, encoded)
 	return encoded, nil
 }
 
-// Part returns a part of a large entry, within this node's share of its link.
+// Part returns a part of a large entry, within the share of the link for entries.
 func (s *service) Part(ctx context.Context, in *peerpb.PartRequest) (*peerpb.PartReply, error) {
 	g := s.g
-	store, err := g.options.Spaces.of(in.GetSpace())
+	store, err := g.options.Spaces.storeFor(in.GetSpace())
 	if err != nil {
 		return nil, twirp.InvalidArgumentError("space", err.Error())
 	}
-	entry, ok := store.EntryOf(in.GetKey(), versionOf(in.GetVersion()))
+	entry, ok := store.EntryOf(in.GetKey(), decodeVersion(in.GetVersion()))
 	if !ok {
 		entry, ok = store.Entry(in.GetKey())
 	}
@@ -72,16 +71,16 @@
 	}
 	var base published.Entry
 	if in.GetBase() != nil {
-		base, _ = store.EntryOf(in.GetKey(), versionOf(in.GetBase()))
+		base, _ = store.EntryOf(in.GetKey(), decodeVersion(in.GetBase()))
 	}
-	encoded, err := g.encodings.of(pullKey{space: in.GetSpace(), key: in.GetKey()}, base, entry)
+	encoded, err := g.encodings.encode(pullKey{space: in.GetSpace(), key: in.GetKey()}, base, entry)
 	if err != nil {
 		return nil, twirp.InternalErrorWith(err)
 	}
 	offset := min(in.GetOffset(), uint64(len(encoded)))
 	end := min(offset+uint64(min(in.GetLimit(), partBytes)), uint64(len(encoded)))
 	part := encoded[offset:end]
-	if err := pace(ctx, g.sent, len(part)); err != nil {
+	if err := pace(ctx, g.sendLimiter, len(part)); err != nil {
 		return nil, twirp.NewError(twirp.ResourceExhausted, err.Error())
 	}
 	return &peerpb.PartReply{
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -13,12 +13,12 @@
 	"github.com/wingvale/wingvale/internal/peer/peerpb"
 )
 
-func good() *peerpb.Member {
+func validMember() *peerpb.Member {
 	address := []byte{10, 0, 0, 1, 0x58, 0x1b}
 	return &peerpb.Member{Address: address, Peer: address, Zone: "a", Beat: 7}
 }
 
-func TestBadMembersAreRefused(t *testing.T) {
+func TestInvalidMembersAreRefused(t *testing.T) {
 	cases := []struct {
 		name   string
 		change func(m *peerpb.Member)
@@ -29,28 +29,28 @@
 		{"no zone", func(m *peerpb.Member) { m.Zone = "" }},
 		{"an unknown state", func(m *peerpb.Member) { m.State = 99 }},
 	}
-	_, err := peer.MembersOf([]*peerpb.Member{good()})
+	_, err := peer.DecodeHeartbeatMembers([]*peerpb.Member{validMember()})
 	assert.NilError(t, err)
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			m := good()
+			m := validMember()
 			c.change(m)
-			_, err := peer.MembersOf([]*peerpb.Member{m})
+			_, err := peer.DecodeHeartbeatMembers([]*peerpb.Member{m})
 			assert.Assert(t, err != nil)
 		})
 	}
 	many := make([]*peerpb.Member, 1000)
 	for i := range many {
-		many[i] = good()
+		many[i] = validMember()
 	}
-	_, err = peer.MembersOf(many)
+	_, err = peer.DecodeHeartbeatMembers(many)
 	assert.ErrorContains(t, err, "1000 members")
-	_, err = peer.MembersOf(nil)
+	_, err = peer.DecodeHeartbeatMembers(nil)
 	assert.ErrorContains(t, err, "0 members")
 }
 
 func FuzzMembers(f *testing.F) {
-	data, err := proto.Marshal(&peerpb.ExchangeRequest{Members: []*peerpb.Member{good()}})
+	data, err := proto.Marshal(&peerpb.ExchangeRequest{Members: []*peerpb.Member{validMember()}})
 	assert.NilError(f, err)
 	f.Add(data)
 	f.Fuzz(func(t *testing.T, data []byte) {
@@ -58,7 +58,7 @@
 		if proto.Unmarshal(data, &in) != nil {
 			return
 		}
-		members, err := peer.MembersOf(in.GetMembers())
+		members, err := peer.DecodeHeartbeatMembers(in.GetMembers())
 		if err != nil {
 			return
 		}
--- a/internal/peer/peerpb/peer.twirp.go
+++ b/internal/peer/peerpb/peer.twirp.go
@@ -31,48 +31,46 @@
 // Peer Interface
 // ==============
 
-// Peer is what the nodes of one fleet say to each other.
+// Peer is the protocol between the nodes of one fleet.
 type Peer interface {
-	// Exchange is the heartbeat: news of members, and what both ends hold.
+	// Exchange is the heartbeat. Both sides send news of members and summaries of their values.
 	Exchange(context.Context, *ExchangeRequest) (*ExchangeReply, error)
 
-	// Level returns what the receiver holds of the members in parts of the view
-	// that differ, and takes in what the sender holds.
+	// Level merges the members of the request into the receiver's view, and returns the
+	// receiver's members in the buckets of the view that differ.
 	Level(context.Context, *LevelRequest) (*LevelReply, error)
 
 	// Probe asks the receiver to send a heartbeat to another node.
 	Probe(context.Context, *ProbeRequest) (*ProbeReply, error)
 
-	// Compare returns the versions of all keys in parts that differ.
+	// Compare returns the versions of all keys in the buckets that differ.
 	Compare(context.Context, *CompareRequest) (*CompareReply, error)
 
-	// Fetch returns the entries of the keys asked for.
+	// Fetch returns the entries of the requested keys.
 	Fetch(context.Context, *FetchRequest) (*FetchReply, error)
 
-	// Bulk returns all small entries of parts, packed: what a node needs that has just
-	// started, and what would be asked for key by key else.
+	// Bulk returns all small entries of buckets, packed. A node that has just started uses it
+	// instead of requesting the entries key by key.
 	Bulk(context.Context, *BulkRequest) (*BulkReply, error)
 
-	// Push hands over small entries that the receiver may lack.
+	// Push sends small entries that the receiver may lack.
 	Push(context.Context, *PushRequest) (*PushReply, error)
 
-	// Advertise tells which entries the sender holds; a receiver that lacks one
-	// asks for it, a large one part by part.
+	// Advertise sends the versions of entries that the sender has. A receiver that lacks one
+	// requests the entry, a large one part by part.
 	Advertise(context.Context, *AdvertiseRequest) (*AdvertiseReply, error)
 
-	// Part returns a part of a large entry, encoded as its difference from an
-	// earlier one that the asker holds.
+	// Part returns a part of a large entry, encoded as a delta against an earlier version that
+	// the caller has.
 	Part(context.Context, *PartRequest) (*PartReply, error)
 
-	// Confirm makes the receiver look whether the publisher has anything newer.
+	// Confirm makes the receiver check the publisher for newer entries.
 	Confirm(context.Context, *ConfirmRequest) (*ConfirmReply, error)
 
-	// Ends takes in backend servers that ended under requests, and returns those that
-	// the receiver knows of where it is asked to.
+	// Ends sends ends of backend servers, and returns those that the receiver knows if asked to.
 	Ends(context.Context, *EndsRequest) (*EndsReply, error)
 
-	// Try begins or ends a try of a suspected request, of which the receiver allows
-	// one at a time.
+	// Try starts or finishes a try of a suspected request. The receiver grants one at a time.
 	Try(context.Context, *TryRequest) (*TryReply, error)
 }
 
--- a/internal/peer/pull.go
+++ b/internal/peer/pull.go
@@ -22,31 +22,30 @@
 )
 
 const (
-	// partBytes is how much of a large entry one message has: 26 ms of a link of
-	// 10 Mbit/s, so that requests and heartbeats go in between.
+	// partBytes is the size of the parts of a large entry: 26 ms on a link of 10 Mbit/s, so that
+	// requests and heartbeats get through between parts.
 	partBytes = 32 << 10
-	// linkShare of a host's link is the most that large entries take of it, in
+	// linkShare is the maximum share of the host's link that the transfer of entries uses, in
 	// each direction.
 	linkShare = 0.5
-	// restartsMost bounds how often a source may change the version while it is
-	// asked for parts.
-	restartsMost = 3
-	// sourcesMost bounds the hosts that are remembered to have an entry.
-	sourcesMost = 16
+	// maxRestarts bounds how often a source may change the version during one transfer.
+	maxRestarts = 3
+	// maxSources bounds the hosts that a pull remembers as having the entry.
+	maxSources = 16
 )
 
 var (
-	errChanging = errors.New("peer: the entry changes faster than it is read")
-	errDigest   = errors.New("peer: the entry is not the one that was advertised")
-	errMissing  = errors.New("peer: the entry is not there any more")
+	errChanging = errors.New("peer: entry kept changing during the transfer")
+	errDigest   = errors.New("peer: entry does not match its advertised digest")
+	errMissing  = errors.New("peer: peer no longer has the data, or sent an invalid reply")
 )
 
-// pullTimes are the buckets of how long values took from when they were heard of:
-// 20 ms to 15 s.
-var pullTimes = tally.MustMakeExponentialDurationBuckets(20*time.Millisecond, 1.6, 15)
+// pullBuckets are the histogram buckets of the time from the first advertisement of a value to
+// its arrival: 20 ms to 15 s.
+var pullBuckets = tally.MustMakeExponentialDurationBuckets(20*time.Millisecond, 1.6, 15)
 
-// newLimiter paces large entries on a link of so many bytes a second; 0 does
-// not pace them.
+// newLimiter returns a limiter that paces entries to a share of a link of so many bytes a second;
+// 0 means no limit.
 func newLimiter(link float64) *rate.Limiter {
 	if link <= 0 {
 		return rate.NewLimiter(rate.Inf, partBytes)
@@ -54,15 +53,15 @@
 	return rate.NewLimiter(rate.Limit(linkShare*link), partBytes)
 }
 
-// pulls has the large entries that this node lacks and asks for, each from one
-// host at a time. It is safe for concurrent use.
+// pulls tracks the entries that this node is requesting, each from one host at a time. It is safe
+// for concurrent use.
 type pulls struct {
 	mu      sync.Mutex
 	running map[pullKey]*pull
-	// fetching has the small entries that are being asked for.
+	// fetching has the small entries that are being fetched.
 	fetching map[pullKey]bool
-	// all ends with the pulls.
-	all sync.WaitGroup
+	// wg counts the running pulls.
+	wg sync.WaitGroup
 }
 
 type pullKey struct {
@@ -74,21 +73,21 @@
 	return &pulls{running: make(map[pullKey]*pull), fetching: make(map[pullKey]bool)}
 }
 
-// stop ends the pulls and waits for them; no other begins once cancel is called.
+// stop cancels the pulls and waits for them. No pull starts once cancel has been called.
 func (p *pulls) stop(cancel context.CancelFunc) {
 	p.mu.Lock()
 	cancel()
 	p.mu.Unlock()
-	p.all.Wait()
+	p.wg.Wait()
 }
 
-// pull is one entry that is being asked for.
+// pull is the transfer of one large entry.
 type pull struct {
 	pullKey
-	// since is when the node heard of it.
-	since time.Time
-	// sources are hosts that said to have the entry, each once, the last one last.
-	// That one is asked first: it lived a moment ago.
+	// advertisedAt is when this node first learned of the entry.
+	advertisedAt time.Time
+	// sources are the hosts that advertised the entry, each once, the most recent last. The
+	// last is asked first, since it was alive most recently.
 	sources []source
 	done    chan struct{}
 }
@@ -98,10 +97,10 @@
 	version published.Version
 }
 
-// want asks for a version of a large entry that a peer says to have. It returns
-// the pull under way, or nil where the node does not lack it.
-func (g *Gossip) want(space peerpb.Space, key string, version published.Version, peer netip.AddrPort) *pull {
-	store, err := g.options.Spaces.of(space)
+// startPull pulls a version of a large entry that a peer advertised. It returns the running pull,
+// or nil if the node already has the version.
+func (g *Gossip) startPull(space peerpb.Space, key string, version published.Version, peer netip.AddrPort) *pull {
+	store, err := g.options.Spaces.storeFor(space)
 	if err != nil || !store.Lacks(key, version) {
 		return nil
 	}
@@ -113,50 +112,49 @@
 	id := pullKey{space: space, key: key}
 	from := source{peer: peer, version: version}
 	if p := g.pulls.running[id]; p != nil {
-		p.add(from)
+		p.addSource(from)
 		return p
 	}
-	p := &pull{pullKey: id, since: time.Now(), sources: []source{from}, done: make(chan struct{})}
+	p := &pull{pullKey: id, advertisedAt: time.Now(), sources: []source{from}, done: make(chan struct{})}
 	g.pulls.running[id] = p
-	g.pulls.all.Go(func() { g.run(p, store) })
+	g.pulls.wg.Go(func() { g.runPull(p, store) })
 	return p
 }
 
-// add notes a host that has the entry, in place of what it said before.
-func (p *pull) add(from source) {
+// addSource adds a host that has the entry, in place of an earlier advertisement by that host.
+func (p *pull) addSource(from source) {
 	p.sources = slices.DeleteFunc(p.sources, func(s source) bool { return s.peer == from.peer })
 	p.sources = append(p.sources, from)
-	p.sources = p.sources[max(len(p.sources)-sourcesMost, 0):]
+	p.sources = p.sources[max(len(p.sources)-maxSources, 0):]
 }
 
-// run asks the sources one after the other until the node lacks nothing that
-// one of them said to have, or none is left.
-func (g *Gossip) run(p *pull, store Store) {
+// runPull asks the sources one after the other until the node has every version that they
+// advertised, or no source remains.
+func (g *Gossip) runPull(p *pull, store Store) {
 	defer close(p.done)
 	for {
 		from, ok := g.nextSource(p, store)
 		if !ok {
 			return
 		}
-		began := time.Now()
-		entry, size, err := g.take(g.ctx, p.pullKey, store, from.peer)
+		startedAt := time.Now()
+		entry, size, err := g.transfer(g.ctx, p.pullKey, store, from.peer)
 		if err != nil {
 			g.options.Scope.Counter("pulls_failed").Inc(1)
-			g.options.Log.WithError(err).WithField("peer", from.peer).WithField("key", p.key).Info("a published value could not be had from a peer")
+			g.options.Log.WithError(err).WithField("peer", from.peer).WithField("key", p.key).Info("cannot pull published value from peer")
 			continue
 		}
 		g.options.Scope.Counter("pulls").Inc(1)
 		g.options.Scope.Counter("pulled_bytes").Inc(int64(size))
-		g.options.Scope.Histogram("pull_seconds", pullTimes).RecordDuration(time.Since(p.since))
+		g.options.Scope.Histogram("pull_seconds", pullBuckets).RecordDuration(time.Since(p.advertisedAt))
 		g.options.Log.WithField("peer", from.peer).WithField("key", p.key).WithField("revision", entry.Revision).
-			WithField("bytes", len(entry.Data)).WithField("sent_bytes", size).WithField("took_ms", time.Since(began).Milliseconds()).
-			WithField("known_ms", time.Since(p.since).Milliseconds()).Info("published value had from a peer")
-		g.accepted(p.space, store.Offer(entry))
+			WithField("bytes", len(entry.Data)).WithField("sent_bytes", size).WithField("took_ms", time.Since(startedAt).Milliseconds()).
+			WithField("known_ms", time.Since(p.advertisedAt).Milliseconds()).Info("pulled published value from peer")
+		g.handleAccepted(p.space, store.Offer(entry))
 	}
 }
 
-// nextSource takes the next host to ask off the pull's list. Where there is none
-// the pull is over.
+// nextSource removes and returns the next source of the pull. If none remains the pull is over.
 func (g *Gossip) nextSource(p *pull, store Store) (source, bool) {
 	g.pulls.mu.Lock()
 	defer g.pulls.mu.Unlock()
@@ -172,10 +170,10 @@
 	return source{}, false
 }
 
-// take reads a large entry from a peer, part by part, and returns it and the
-// bytes that were sent for it. It begins again where the peer goes over to
-// another version, or no longer has what the parts are the difference from.
-func (g *Gossip) take(ctx context.Context, id pullKey, store Store, peer netip.AddrPort) (published.Entry, int, error) {
+// transfer reads a large entry from a peer part by part. It returns the entry and the number of
+// bytes that were sent for it. It starts over if the peer switches to another version, or no
+// longer has the base of the delta.
+func (g *Gossip) transfer(ctx context.Context, id pullKey, store Store, peer netip.AddrPort) (published.Entry, int, error) {
 	base, _ := store.Entry(id.key)
 	request := &peerpb.PartRequest{Space: id.space, Key: id.key, Limit: partBytes}
 	if len(base.Data) > 0 {
@@ -185,13 +183,13 @@
 	var encoded []byte
 	sent, restarts := 0, 0
 	for {
-		reply, err := g.part(ctx, peer, request)
+		reply, err := g.fetchPart(ctx, peer, request)
 		if err != nil {
 			return published.Entry{}, sent, err
 		}
 		sent += len(reply.GetData())
 		if first != nil && !continues(first, reply) {
-			if restarts++; restarts > restartsMost {
+			if restarts++; restarts > maxRestarts {
 				return published.Entry{}, sent, errChanging
 			}
 			first, encoded = nil, nil
@@ -211,19 +209,19 @@
 	if !first.GetDiffers() {
 		base.Data = nil
 	}
-	entry, err := decodeEntry(id.key, base.Data, encoded, versionOf(first.GetVersion()))
+	entry, err := decodeEntry(id.key, base.Data, encoded, decodeVersion(first.GetVersion()))
 	return entry, sent, err
 }
 
-// continues reports whether a part belongs to what an earlier one began.
+// continues reports whether a part belongs to the same encoding as an earlier one.
 func continues(first, next *peerpb.PartReply) bool {
-	return versionOf(first.GetVersion()).Compare(versionOf(next.GetVersion())) == 0 &&
+	return decodeVersion(first.GetVersion()).Compare(decodeVersion(next.GetVersion())) == 0 &&
 		first.GetDiffers() == next.GetDiffers() && first.GetSize() == next.GetSize()
 }
 
-// part asks for one part, within this node's share of its link.
-func (g *Gossip) part(ctx context.Context, peer netip.AddrPort, request *peerpb.PartRequest) (*peerpb.PartReply, error) {
-	ctx, cancel := context.WithTimeout(ctx, callFor)
+// fetchPart requests one part, within the share of the link for entries.
+func (g *Gossip) fetchPart(ctx context.Context, peer netip.AddrPort, request *peerpb.PartRequest) (*peerpb.PartReply, error) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	reply, err := g.client(peer).Part(ctx, request)
 	if err != nil {
@@ -232,13 +230,13 @@
 	if reply.GetVersion() == nil || reply.GetSize() > maxMessageSize || len(reply.GetData()) > partBytes {
 		return nil, errMissing
 	}
-	return reply, pace(g.ctx, g.received, len(reply.GetData()))
+	return reply, pace(g.ctx, g.receiveLimiter, len(reply.GetData()))
 }
 
 func decodeEntry(key string, base, encoded []byte, version published.Version) (published.Entry, error) {
 	data, err := delta.Decode(base, encoded, pipeline.MaxValueBytes)
 	if err != nil {
-		return published.Entry{}, fmt.Errorf("peer: key %.80q: %w", key, err)
+		return published.Entry{}, fmt.Errorf("peer: decode value of key %.80q: %w", key, err)
 	}
 	entry := published.Entry{Key: key, Revision: version.Revision, Data: data}
 	if entry.Digest() != version.Digest {
@@ -247,8 +245,8 @@
 	return entry, nil
 }
 
-// claim returns those of the small entries that are not being asked for yet; the
-// caller asks for them and calls release.
+// claim returns the small entries that are not being fetched yet. The caller fetches them and
+// then calls release.
 func (p *pulls) claim(space peerpb.Space, keys []string) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -271,7 +269,7 @@
 	}
 }
 
-// pace waits until so many bytes are within a limiter's rate.
+// pace waits until the limiter allows so many bytes.
 func pace(ctx context.Context, l *rate.Limiter, bytes int) error {
 	for bytes > 0 {
 		if err := l.WaitN(ctx, min(bytes, partBytes)); err != nil {
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -13,7 +13,7 @@
 	"github.com/wingvale/wingvale/internal/published"
 )
 
-// Handler returns what serves the other nodes, and the path it serves under.
+// Handler returns the handler of the protocol and the path prefix to serve it under.
 func (g *Gossip) Handler() (string, http.Handler) {
 	server := peerpb.NewPeerServer(&service{g: g})
 	bounded := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -23,21 +23,21 @@
 	return server.PathPrefix(), bounded
 }
 
-// service answers the other nodes.
+// service implements the server side of the protocol.
 type service struct{ g *Gossip }
 
-// Exchange takes in a heartbeat and answers with one.
+// Exchange merges the heartbeat of a peer and replies with a heartbeat of this node.
 func (s *service) Exchange(_ context.Context, in *peerpb.ExchangeRequest) (*peerpb.ExchangeReply, error) {
 	g := s.g
-	if err := g.takeNews(in.GetMembers(), in.GetLeaving()); err != nil {
+	if err := g.mergeNews(in.GetMembers(), in.GetLeaving()); err != nil {
 		return nil, twirp.InvalidArgumentError("members", err.Error())
 	}
 	members, leaving := newsMessages(g.news())
-	// Whoever sent the heartbeat synchronises both ways; here it is only noted where
-	// both hold the same, or the other has more.
-	g.options.Spaces.differing(in.GetSummaries())
-	if address, err := addressOf(in.GetMembers()[0].GetPeer()); err == nil {
-		g.noteAhead(address, in.GetSummaries())
+	// The sender of the heartbeat synchronises in both directions. The receiver only records
+	// which spaces are equal and whether the sender is ahead.
+	g.options.Spaces.differingSpaces(in.GetSummaries())
+	if address, err := decodeAddress(in.GetMembers()[0].GetPeer()); err == nil {
+		g.checkLag(address, in.GetSummaries())
 	}
 	reply := &peerpb.ExchangeReply{
 		Members: members, Leaving: leaving, Summaries: g.options.Spaces.summaries(), View: g.options.View.Sums().Total(),
@@ -48,27 +48,27 @@
 	return reply, nil
 }
 
-// Probe sends a heartbeat on behalf of another node.
+// Probe sends a heartbeat to a third node on behalf of the caller.
 func (s *service) Probe(ctx context.Context, in *peerpb.ProbeRequest) (*peerpb.ProbeReply, error) {
-	address, err := addressOf(in.GetPeer())
+	address, err := decodeAddress(in.GetPeer())
 	if err != nil {
 		return nil, twirp.InvalidArgumentError("peer", err.Error())
 	}
 	return &peerpb.ProbeReply{Answered: s.g.exchange(ctx, address) == nil}, nil
 }
 
-// Compare returns the versions of the keys in buckets that differ.
+// Compare returns the versions of the keys in the buckets that differ.
 func (s *service) Compare(_ context.Context, in *peerpb.CompareRequest) (*peerpb.CompareReply, error) {
-	store, err := s.g.options.Spaces.of(in.GetSpace())
+	store, err := s.g.options.Spaces.storeFor(in.GetSpace())
 	if err != nil {
 		return nil, twirp.InvalidArgumentError("space", err.Error())
 	}
 	if len(in.GetSums()) != published.Buckets {
 		return nil, twirp.InvalidArgumentError("sums", "wrong count")
 	}
-	// What it has through that revision is among the versions, which are read later.
+	// Read the covered revision before the versions, so that the versions include all of it.
 	reply := &peerpb.CompareReply{Through: store.Summary().Through, Sums: store.Sums()}
-	if len(lackingParts(in.GetSums(), reply.GetSums())) > manyParts {
+	if len(missingBuckets(in.GetSums(), reply.GetSums())) > bulkThreshold {
 		reply.Many = true
 		return reply, nil
 	}
@@ -76,31 +76,31 @@
 	return reply, nil
 }
 
-// Fetch returns entries until the reply is full; the asker asks again.
+// Fetch returns entries up to the size limit of a reply. The caller requests the rest again.
 func (s *service) Fetch(ctx context.Context, in *peerpb.FetchRequest) (*peerpb.FetchReply, error) {
-	store, err := s.g.options.Spaces.of(in.GetSpace())
+	store, err := s.g.options.Spaces.storeFor(in.GetSpace())
 	if err != nil {
 		return nil, twirp.InvalidArgumentError("space", err.Error())
 	}
 	if len(in.GetKeys()) > maxKeys {
 		return nil, twirp.InvalidArgumentError("keys", "too many")
 	}
-	entries := fill(store.Entries(in.GetKeys()...))
-	if err := pace(ctx, s.g.sent, bytesOf(entries)); err != nil {
+	entries := fitReply(store.Entries(in.GetKeys()...))
+	if err := pace(ctx, s.g.sendLimiter, entryBytes(entries)); err != nil {
 		return nil, twirp.NewError(twirp.ResourceExhausted, err.Error())
 	}
 	return &peerpb.FetchReply{Entries: entryMessages(entries)}, nil
 }
 
-// Push takes entries in and passes on those that were news.
+// Push stores entries and spreads those that came into force.
 func (s *service) Push(_ context.Context, in *peerpb.PushRequest) (*peerpb.PushReply, error) {
-	store, err := s.g.options.Spaces.of(in.GetSpace())
+	store, err := s.g.options.Spaces.storeFor(in.GetSpace())
 	if err != nil {
 		return nil, twirp.InvalidArgumentError("space", err.Error())
 	}
-	entries := entriesOf(in.GetEntries())
+	entries := decodeEntries(in.GetEntries())
 	if len(in.GetPacked()) > 0 {
-		packed, err := unpack(in.GetPacked())
+		packed, err := unpackEntries(in.GetPacked())
 		if err != nil {
 			return nil, twirp.InvalidArgumentError("packed", err.Error())
 		}
@@ -110,12 +110,12 @@
 	if in.GetDirect() {
 		store.Covered(in.GetAfter(), in.GetThrough())
 	}
-	s.g.accepted(in.GetSpace(), accepted)
+	s.g.handleAccepted(in.GetSpace(), accepted)
 	return &peerpb.PushReply{}, nil
 }
 
-// fill returns the first entries that fit one message, one at least.
-func fill(entries []published.Entry) []published.Entry {
+// fitReply returns the leading entries that fit in one message, at least one.
+func fitReply(entries []published.Entry) []published.Entry {
 	size := 0
 	for i, e := range entries {
 		size += len(e.Key) + len(e.Data)
--- a/internal/peer/silent_hosts_test.go
+++ b/internal/peer/silent_hosts_test.go
@@ -14,11 +14,11 @@
 	"github.com/wingvale/wingvale/internal/published"
 )
 
-// Small values that were handed to hosts of a part of the fleet that had just
-// fallen silent held all workers for 5 s each, and a configuration that came
-// then was told to nobody.
-func TestSilentHostsDoNotHoldTheNewsOfAValueUp(t *testing.T) {
-	talkers(t, 24, func(t *testing.T, network *memnet.Network, all []*talker) {
+// Guards against workers blocked by silent hosts: pushes of small values to hosts that had just
+// fallen silent occupied all workers for 5 s each, and a configuration published meanwhile was
+// advertised to no host.
+func TestSilentHostsDoNotDelayValues(t *testing.T) {
+	runNodes(t, 24, func(t *testing.T, network *memnet.Network, all []*testNode) {
 		for _, n := range all[16:] {
 			network.Freeze(n.address.Addr(), true)
 		}
--- a/internal/peer/silent_sources_test.go
+++ b/internal/peer/silent_sources_test.go
@@ -14,10 +14,10 @@
 	"github.com/wingvale/wingvale/internal/published"
 )
 
-// Hosts that said to have a value fell silent, and each was waited for before
-// the next was asked, one that answers last.
-func TestSilentSourcesDoNotHoldAValueUp(t *testing.T) {
-	talkers(t, 8, func(t *testing.T, network *memnet.Network, all []*talker) {
+// Guards against a slow pull: the hosts that advertised a value fell silent, and the node waited
+// for each of them before it asked the one host that answered.
+func TestSilentSourcesDoNotDelayPull(t *testing.T) {
+	runNodes(t, 8, func(t *testing.T, network *memnet.Network, all []*testNode) {
 		asker, holder := all[7], all[6]
 		entry := published.Entry{Key: key, Revision: 1, Data: lines(6000, 6000, "")}
 		holder.store.Offer(entry)
--- a/internal/peer/space.go
+++ b/internal/peer/space.go
@@ -10,7 +10,7 @@
 	"github.com/wingvale/wingvale/internal/published"
 )
 
-// Store is one space of published values, of whatever type.
+// Store holds one space of published values, whatever their type.
 type Store interface {
 	Summary() published.Summary
 	Sums() []uint64
@@ -26,13 +26,13 @@
 	Covered(after, through uint64)
 }
 
-// Spaces has the store of each space.
+// Spaces maps each space to its store.
 type Spaces map[peerpb.Space]Store
 
-func (s Spaces) of(space peerpb.Space) (Store, error) {
+func (s Spaces) storeFor(space peerpb.Space) (Store, error) {
 	store, ok := s[space]
 	if !ok {
-		return nil, fmt.Errorf("peer: no space %s", space)
+		return nil, fmt.Errorf("peer: unknown space %s", space)
 	}
 	return store, nil
 }
@@ -49,9 +49,9 @@
 	return &peerpb.Summary{Space: space, Revision: s.Revision, Sum: s.Sum, Through: s.Through}
 }
 
-// differing returns the spaces in which a peer holds something else. Where it
-// holds the same, this node has every key that the peer has.
-func (s Spaces) differing(summaries []*peerpb.Summary) []peerpb.Space {
+// differingSpaces returns the spaces in which a peer holds other entries. In the other spaces
+// this node has every key that the peer has, which it records in the store.
+func (s Spaces) differingSpaces(summaries []*peerpb.Summary) []peerpb.Space {
 	var spaces []peerpb.Space
 	for _, m := range summaries {
 		store, ok := s[m.GetSpace()]
--- a/internal/peer/spread.go
+++ b/internal/peer/spread.go
@@ -15,83 +15,84 @@
 	"github.com/wingvale/wingvale/internal/published"
 )
 
-// SpreadEvery is the least time between two messages with entries to the same number of
-// peers. Where many backend servers change, each watcher brings other ones at other
-// moments; passed on one by one, each host would get as many messages a second as all
-// watchers have answers, times Fanout.
+// SpreadEvery is the minimum time between two messages with entries to the same number of
+// peers. Where many backend servers change, each watcher reads other changes at other times.
+// Without batching each host would receive as many messages a second as all watchers together
+// receive answers, times Fanout.
 const SpreadEvery = 200 * time.Millisecond
 
-// spreader gathers the entries of one space that are to be passed on. It is safe for
+// spreadQueue collects the entries of one space until they are spread. It is safe for
 // concurrent use.
-type spreader struct {
+type spreadQueue struct {
 	mu sync.Mutex
-	// waiting has the newest entry of each key that waits.
-	waiting map[string]waitingEntry
-	// last is when entries were passed on; due says that they are about to be again.
-	last time.Time
-	due  bool
+	// queued has the newest entry of each key that waits to be spread.
+	queued map[string]pendingEntry
+	// lastSpreadAt is when entries were last spread. scheduled reports whether the
+	// next spread is already scheduled.
+	lastSpreadAt time.Time
+	scheduled    bool
 }
 
-// waitingEntry is an entry that is to be passed on, or only to be told of: whoever had to
-// ask for it is one of many that have it by now.
-type waitingEntry struct {
+// pendingEntry is an entry to spread. With advertiseOnly set it is advertised rather than pushed:
+// an entry that this node had to request is held by many other nodes already.
+type pendingEntry struct {
 	published.Entry
-	toldOf bool
+	advertiseOnly bool
 }
 
-// add takes entries in, and returns how long until they are to be taken out. It reports
-// false where that is under way already.
-func (s *spreader) add(now time.Time, entries []published.Entry, toldOf bool) (time.Duration, bool) {
+// add queues entries and returns the delay after which the caller must spread them. It reports
+// false if a spread is already scheduled.
+func (s *spreadQueue) add(now time.Time, entries []published.Entry, advertiseOnly bool) (time.Duration, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.waiting == nil {
-		s.waiting = make(map[string]waitingEntry)
+	if s.queued == nil {
+		s.queued = make(map[string]pendingEntry)
 	}
 	for _, e := range entries {
-		if old, ok := s.waiting[e.Key]; !ok || e.Version().Compare(old.Version()) > 0 {
-			s.waiting[e.Key] = waitingEntry{Entry: e, toldOf: toldOf}
+		if old, ok := s.queued[e.Key]; !ok || e.Version().Compare(old.Version()) > 0 {
+			s.queued[e.Key] = pendingEntry{Entry: e, advertiseOnly: advertiseOnly}
 		}
 	}
-	if s.due {
+	if s.scheduled {
 		return 0, false
 	}
-	s.due = true
-	return max(s.last.Add(SpreadEvery).Sub(now), 0), true
+	s.scheduled = true
+	return max(s.lastSpreadAt.Add(SpreadEvery).Sub(now), 0), true
 }
 
-// take returns the entries that are to be passed on and to be told of, by key.
-func (s *spreader) take(now time.Time) (passed, toldOf []published.Entry) {
+// drain removes all entries and returns those to push and those to advertise only, by key.
+func (s *spreadQueue) drain(now time.Time) (passed, advertiseOnly []published.Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, key := range slices.Sorted(maps.Keys(s.waiting)) {
-		e := s.waiting[key]
-		if e.toldOf {
-			toldOf = append(toldOf, e.Entry)
+	for _, key := range slices.Sorted(maps.Keys(s.queued)) {
+		e := s.queued[key]
+		if e.advertiseOnly {
+			advertiseOnly = append(advertiseOnly, e.Entry)
 		} else {
 			passed = append(passed, e.Entry)
 		}
 	}
-	clear(s.waiting)
-	s.due = false
-	s.last = now
-	return passed, toldOf
+	clear(s.queued)
+	s.scheduled = false
+	s.lastSpreadAt = now
+	return passed, advertiseOnly
 }
 
-// Spread hands entries that just came into force to a few peers, who do the same, at once
-// or, where others were handed on a moment ago, together with what comes until then.
+// Spread passes entries that just came into force to a few peers, which do the same. It does so
+// at once, or within SpreadEvery together with later entries if it spread others just before.
 func (g *Gossip) Spread(space peerpb.Space, entries []published.Entry) {
-	g.gather(space, entries, false)
+	g.queueSpread(space, entries, false)
 }
 
-// gather hands entries on, or tells of them, with what else comes within SpreadEvery.
-func (g *Gossip) gather(space peerpb.Space, entries []published.Entry, toldOf bool) {
-	s := g.spreaders[space]
+// queueSpread queues entries to be spread, or only advertised, at most once per SpreadEvery.
+func (g *Gossip) queueSpread(space peerpb.Space, entries []published.Entry, advertiseOnly bool) {
+	s := g.spreadQueues[space]
 	if s == nil || len(entries) == 0 {
 		return
 	}
-	wait, begins := s.add(time.Now(), entries, toldOf)
+	wait, schedule := s.add(time.Now(), entries, advertiseOnly)
 	switch {
-	case !begins:
+	case !schedule:
 	case wait == 0:
 		g.spread(space, s)
 	default:
@@ -99,22 +100,22 @@
 	}
 }
 
-// spread pushes small entries to a few peers and advertises large ones, and small ones
-// that are many, to as many as this host can serve: a value of 0.9 MB that each host of 86
-// sent to three others filled links of 10 Mbit/s for 12 s.
-func (g *Gossip) spread(space peerpb.Space, s *spreader) {
-	passed, toldOf := s.take(time.Now())
+// spread pushes small entries to a few peers. It advertises large entries, and small entries
+// whose total is large, to as many peers as this host can serve. Large values are not pushed: a
+// value of 0.9 MB that each of 86 hosts sent to three others filled links of 10 Mbit/s for 12 s.
+func (g *Gossip) spread(space peerpb.Space, s *spreadQueue) {
+	passed, advertiseOnly := s.drain(time.Now())
 	if g.options.Direct(space) {
 		g.relay(space, passed)
 		return
 	}
-	pushed, advertised := split(passed)
+	pushed, advertised := splitForPush(passed)
 	if len(pushed) > 0 {
-		for _, m := range g.pick(Fanout, netip.AddrPort{}) {
+		for _, m := range g.pickLive(Fanout, netip.AddrPort{}) {
 			g.enqueue(func(ctx context.Context) { _ = push(ctx, g.client(m.Peer), space, pushed) })
 		}
 	}
-	if advertised = append(advertised, toldOf...); len(advertised) > 0 {
-		g.advertiseToSome(space, advertised)
+	if advertised = append(advertised, advertiseOnly...); len(advertised) > 0 {
+		g.advertiseToPeers(space, advertised)
 	}
 }
--- a/internal/peer/spread_test.go
+++ b/internal/peer/spread_test.go
@@ -21,30 +21,29 @@
 	"github.com/wingvale/wingvale/internal/published"
 )
 
-// calls counts the calls between hosts by their names, and loses those of one name to one
-// host.
+// calls counts the calls between hosts by name, and drops the pushes to one host.
 type calls struct {
 	mu     sync.Mutex
 	counts map[string]int
-	// lost is the host that gets no pushes.
-	lost string
+	// dropPushesHost is the host whose pushes are dropped.
+	dropPushesHost string
 }
 
-var errLost = errors.New("lost")
+var errDropped = errors.New("push dropped by the test")
 
-// counted returns a client that makes calls through another's transport.
+// counted returns a client that counts its calls and makes them through client.
 func (c *calls) counted(client *http.Client) *http.Client {
 	return &http.Client{Transport: counting{RoundTripper: client.Transport, calls: c}}
 }
 
-func (c *calls) lose(host string) {
+func (c *calls) dropPushesTo(host string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.lost = host
+	c.dropPushesHost = host
 }
 
-// of returns how many calls of a name there were; none is of all.
-func (c *calls) of(name string) int {
+// countCalls returns the number of calls with a name; the empty name means all calls.
+func (c *calls) countCalls(name string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	total := 0
@@ -69,25 +68,25 @@
 		c.calls.counts = make(map[string]int)
 	}
 	c.calls.counts[name]++
-	lost := name == "Push" && r.URL.Host == c.calls.lost
+	dropPushesHost := name == "Push" && r.URL.Host == c.calls.dropPushesHost
 	c.calls.mu.Unlock()
-	if lost {
-		return nil, errLost
+	if dropPushesHost {
+		return nil, errDropped
 	}
 	return c.RoundTripper.RoundTrip(r)
 }
 
-// stream is changes that hosts which watch read at moments of their own.
+// stream is a sequence of changes that watchers read at different times.
 type stream struct {
-	watchers []*talker
+	watchers []*testNode
 	members  []fleet.Member
 	entries  []published.Entry
-	// read is up to which revision each watcher has read.
+	// read is the number of changes that each watcher has read.
 	read []int
 	turn int
 }
 
-func newStream(watchers []*talker) *stream {
+func newStream(watchers []*testNode) *stream {
 	s := &stream{watchers: watchers, read: make([]int, len(watchers))}
 	for _, n := range watchers {
 		s.members = append(s.members, n.view.Self())
@@ -95,7 +94,7 @@
 	return s
 }
 
-// change makes so many changes, of which each second watcher hears.
+// change makes count changes, which every second watcher reads.
 func (s *stream) change(count int) {
 	for range count {
 		revision := uint64(len(s.entries) + 1)
@@ -115,35 +114,35 @@
 	}
 }
 
-// While 1,100 backend servers a second came up, 15 hosts of 585 watched them, and each
-// host handed each of their answers on to three others: over 200 messages a second to
-// each host, which small ones fell behind by seconds.
-func TestAStormOfChangesMakesFewMessages(t *testing.T) {
+// Guards against a message storm: while 1,100 backend servers a second came up, 15 of 585 hosts
+// watched them, and each host passed each of their answers on to three others. Each host received
+// over 200 messages a second, and small hosts fell behind by seconds.
+func TestChangesAreBatchedUnderLoad(t *testing.T) {
 	const (
 		hosts    = 40
 		watchers = 10
 		changes  = 200
 		every    = 20 * time.Millisecond
-		// callsMost is what a host may send a second: at each peer.SpreadEvery what it
-		// hands on, and what it tells of, to peer.Fanout others each, and heartbeats with
-		// what they lead to.
-		callsMost = 2*peer.Fanout*float64(time.Second)/float64(peer.SpreadEvery) + 2*4
+		// maxCalls is the number of calls that a host may make a second: in each peer.SpreadEvery
+		// one push and one advertisement to peer.Fanout hosts each, and heartbeats with the calls
+		// that follow from them.
+		maxCalls = 2*peer.Fanout*float64(time.Second)/float64(peer.SpreadEvery) + 2*4
 	)
 	made := &calls{}
 	count := func(o *peer.Options) { o.HTTP = made.counted(o.HTTP) }
-	talkersWith(t, hosts, count, func(t *testing.T, _ *memnet.Network, all []*talker) {
+	runNodesWith(t, hosts, count, func(t *testing.T, _ *memnet.Network, all []*testNode) {
 		time.Sleep(5 * time.Second)
-		before := made.of("")
+		before := made.countCalls("")
 		for i := range changes {
 			e := published.Entry{Key: fmt.Sprint("servers/", i), Revision: uint64(i + 1), Data: []byte("x")}
 			from := all[i%watchers]
 			from.gossip.Spread(space, from.store.Offer(e))
 			time.Sleep(every)
 		}
-		rate := float64(made.of("")-before) / hosts / (changes * every).Seconds()
+		rate := float64(made.countCalls("")-before) / hosts / (changes * every).Seconds()
 		t.Logf("%.1f calls a second from each host", rate)
-		assert.Assert(t, rate <= callsMost, "%.1f calls a second from each host", rate)
-		// The last change is in force everywhere within the time that the users allow.
+		assert.Assert(t, rate <= maxCalls, "%.1f calls a second from each host", rate)
+		// The last change must be in force everywhere within the required time.
 		time.Sleep(2 * time.Second)
 		for i, n := range all {
 			assert.Equal(t, n.store.Summary().Revision, uint64(changes), "node %d", i)
@@ -152,32 +151,32 @@
 	})
 }
 
-// Where hosts that watch tell all others, a change takes one step and each host gets it
-// from two of them, so that one that stands still is not missed.
-func TestHostsThatWatchTellAllOthers(t *testing.T) {
+// With direct pushes a change takes one step, and each host gets it from two watchers, so that
+// no host misses it if one of them is paused.
+func TestWatchersPushChangesToAllHosts(t *testing.T) {
 	const (
 		hosts    = 40
 		watchers = 6
 		batches  = 20
 		pause    = 200 * time.Millisecond
-		// inForceWithin is how long a change may take to all hosts.
+		// inForceWithin is how long a change may take to reach all hosts.
 		inForceWithin = 2 * time.Second
-		// callsMost is what a host gets a second: each batch from two watchers and one
-		// other host, and heartbeats with what they lead to.
-		callsMost = 3*float64(time.Second)/float64(pause) + 2*4
+		// maxCalls is the number of calls that a host may make a second: each batch from two
+		// watchers and one other host, and heartbeats with the calls that follow from them.
+		maxCalls = 3*float64(time.Second)/float64(pause) + 2*4
 	)
 	made := &calls{}
 	count := func(o *peer.Options) {
 		o.HTTP = made.counted(o.HTTP)
 		o.Direct = func(peerpb.Space) bool { return true }
 	}
-	talkersWith(t, hosts, count, func(t *testing.T, _ *memnet.Network, all []*talker) {
+	runNodesWith(t, hosts, count, func(t *testing.T, _ *memnet.Network, all []*testNode) {
 		time.Sleep(5 * time.Second)
 		var reading []fleet.Member
 		for _, n := range all[:watchers] {
 			reading = append(reading, n.view.Self())
 		}
-		tell := func(batch int, from []*talker) {
+		publishBatch := func(batch int, from []*testNode) {
 			var entries []published.Entry
 			for i := range 20 {
 				entries = append(entries, published.Entry{Key: fmt.Sprint("servers/", i), Revision: uint64(batch), Data: noise(100, uint64(batch))})
@@ -187,24 +186,24 @@
 				n.gossip.TellDirect(space, peer.Changes{After: uint64(batch - 1), Through: uint64(batch), Entries: entries}, reading)
 			}
 		}
-		before := made.of("")
+		before := made.countCalls("")
 		for batch := range batches {
-			tell(batch+1, all[:watchers])
+			publishBatch(batch+1, all[:watchers])
 			time.Sleep(pause)
 			for i, n := range all {
 				assert.Equal(t, n.store.Summary().Revision, uint64(batch+1), "node %d", i)
 			}
 		}
-		rate := float64(made.of("")-before) / hosts / (batches * pause).Seconds()
-		assert.Assert(t, rate <= callsMost, "%.1f calls a second from each host", rate)
-		tell(batches+1, all[1:watchers])
+		rate := float64(made.countCalls("")-before) / hosts / (batches * pause).Seconds()
+		assert.Assert(t, rate <= maxCalls, "%.1f calls a second from each host", rate)
+		publishBatch(batches+1, all[1:watchers])
 		time.Sleep(pause)
 		for i, n := range all[1:] {
-			assert.Equal(t, n.store.Summary().Revision, uint64(batches+1), "node %d, with one watcher that tells nothing", i+1)
+			assert.Equal(t, n.store.Summary().Revision, uint64(batches+1), "node %d, with one silent watcher", i+1)
 		}
-		// With half of the watchers cut off from the publisher, a quarter of the hosts hear
-		// of a change from others only, within the time in which it must be in force.
-		tell(batches+2, all[watchers/2:watchers])
+		// With half of the watchers cut off from the publisher, a quarter of the hosts receives a
+		// change only by relay, within the time in which it must be in force.
+		publishBatch(batches+2, all[watchers/2:watchers])
 		time.Sleep(inForceWithin)
 		for i, n := range all[watchers/2:] {
 			assert.Equal(t, n.store.Summary().Revision, uint64(batches+2), "node %d, with half of the watchers", i+watchers/2)
@@ -212,24 +211,25 @@
 	})
 }
 
-// While much changed, any two hosts held different entries at each heartbeat and compared
-// the versions of all keys, 0.4 MB a second for each host of 585.
-func TestHostsThatAreHandedAllChangesSeldomCompare(t *testing.T) {
+// Guards against needless comparisons: under constant change, any two hosts held different
+// entries at each heartbeat and compared the versions of all keys, which cost 0.4 MB a second for
+// each of 585 hosts.
+func TestDirectPushAvoidsCompares(t *testing.T) {
 	const (
 		hosts    = 40
 		watchers = 6
 		lasts    = 8 * time.Second
 		pause    = 200 * time.Millisecond
-		// comparedMost is how many comparisons a host may make a second in a storm in
-		// which it misses nothing.
-		comparedMost = 0.1
+		// maxCompares is how many comparisons a host may make a second in a storm in which it
+		// misses nothing.
+		maxCompares = 0.1
 	)
 	made := &calls{}
-	direct := func(o *peer.Options) {
+	directPush := func(o *peer.Options) {
 		o.HTTP = made.counted(o.HTTP)
 		o.Direct = func(peerpb.Space) bool { return true }
 	}
-	talkersWith(t, hosts, direct, func(t *testing.T, _ *memnet.Network, all []*talker) {
+	runNodesWith(t, hosts, directPush, func(t *testing.T, _ *memnet.Network, all []*testNode) {
 		time.Sleep(5 * time.Second)
 		s := newStream(all[:watchers])
 		storm := func(lasts time.Duration) {
@@ -239,16 +239,16 @@
 			}
 		}
 		storm(3 * time.Second)
-		before := made.of("Compare")
+		before := made.countCalls("Compare")
 		storm(lasts)
-		rate := float64(made.of("Compare")-before) / hosts / lasts.Seconds()
+		rate := float64(made.countCalls("Compare")-before) / hosts / lasts.Seconds()
 		t.Logf("%.3f comparisons a second by each host", rate)
-		assert.Assert(t, rate <= comparedMost, "%.2f comparisons a second by each host", rate)
-		// One that has missed something finds out, and has it soon.
+		assert.Assert(t, rate <= maxCompares, "%.2f comparisons a second by each host", rate)
+		// A host that missed a change detects that and soon has it.
 		last := all[hosts-1]
-		made.lose(last.address.String())
+		made.dropPushesTo(last.address.String())
 		storm(2 * pause)
-		made.lose("")
+		made.dropPushesTo("")
 		missed := len(s.entries)
 		storm(3 * time.Second)
 		assert.Assert(t, last.store.Summary().Through >= uint64(missed), "has all through %d of %d", last.store.Summary().Through, missed)
--- a/internal/peer/synchronise.go
+++ b/internal/peer/synchronise.go
@@ -18,46 +18,46 @@
 	space peerpb.Space
 }
 
-// noteDiffering starts to synchronise with a peer that holds something else.
-func (g *Gossip) noteDiffering(sender *peerpb.Member, summaries []*peerpb.Summary) {
-	address, err := addressOf(sender.GetPeer())
+// reconcile starts to synchronise the spaces in which a peer holds other entries.
+func (g *Gossip) reconcile(sender *peerpb.Member, summaries []*peerpb.Summary) {
+	address, err := decodeAddress(sender.GetPeer())
 	if err != nil {
 		return
 	}
-	g.noteAhead(address, summaries)
-	for _, space := range g.differing(summaries) {
-		if g.synchronising(syncKey{peer: address, space: space}) {
+	g.checkLag(address, summaries)
+	for _, space := range g.spacesToCompare(summaries) {
+		if g.isSynchronising(syncKey{peer: address, space: space}) {
 			continue
 		}
 		g.enqueue(func(ctx context.Context) { _, _ = g.synchronise(ctx, address, space) })
 	}
 }
 
-// differing returns the spaces to compare at once with a peer that told of its own.
-func (g *Gossip) differing(summaries []*peerpb.Summary) []peerpb.Space {
-	spaces := g.options.Spaces.differing(summaries)
+// spacesToCompare returns the spaces to compare at once with the sender of summaries.
+func (g *Gossip) spacesToCompare(summaries []*peerpb.Summary) []peerpb.Space {
+	spaces := g.options.Spaces.differingSpaces(summaries)
 	for _, m := range summaries {
 		if !slices.Contains(spaces, m.GetSpace()) {
-			g.behind.same(m.GetSpace())
+			g.lags.markSame(m.GetSpace())
 		}
 	}
 	return slices.DeleteFunc(spaces, func(space peerpb.Space) bool {
-		handed := g.options.Direct(space) && g.options.Spaces[space].Summary().Through > 0
-		return handed && !g.behind.differs(time.Now(), space)
+		pushedDirectly := g.options.Direct(space) && g.options.Spaces[space].Summary().Through > 0
+		return pushedDirectly && !g.lags.differsTooLong(time.Now(), space)
 	})
 }
 
-// Synchronise compares both spaces with some live peers, and the ends of backend
-// servers, waits for what they have, and returns how many it reached.
+// Synchronise compares all spaces and the ends of backend servers with up to count live peers,
+// waits for the missing entries, and returns the number of peers with which that succeeded.
 func (g *Gossip) Synchronise(ctx context.Context, count int) int {
 	reached := 0
-	for _, m := range g.pick(count, netip.AddrPort{}) {
+	for _, m := range g.pickLive(count, netip.AddrPort{}) {
 		if g.exchange(ctx, m.Peer) != nil {
 			continue
 		}
-		ok := g.levelEnds(ctx, m.Peer) == nil
+		ok := g.syncEnds(ctx, m.Peer) == nil
 		for space := range g.options.Spaces {
-			ok = g.synchroniseWhole(ctx, m.Peer, space) == nil && ok
+			ok = g.synchroniseAndWait(ctx, m.Peer, space) == nil && ok
 		}
 		if ok {
 			reached++
@@ -66,8 +66,8 @@
 	return reached
 }
 
-// synchroniseWhole is synchronise that waits for large entries too.
-func (g *Gossip) synchroniseWhole(ctx context.Context, address netip.AddrPort, space peerpb.Space) error {
+// synchroniseAndWait is like synchronise and also waits for large entries.
+func (g *Gossip) synchroniseAndWait(ctx context.Context, address netip.AddrPort, space peerpb.Space) error {
 	pulls, err := g.synchronise(ctx, address, space)
 	if err != nil {
 		return err
@@ -82,22 +82,22 @@
 	return nil
 }
 
-// synchronisation is one that is under way. Its other fields are set before done
-// is closed.
+// synchronisation is a synchronisation with one peer. pulls and err are set before done is
+// closed.
 type synchronisation struct {
 	done  chan struct{}
 	pulls []*pull
 	err   error
 }
 
-// synchronise takes from a peer what this node lacks of a space and hands over
-// what the peer lacks: small entries at once, large ones by asking for them or
-// telling of them. It returns the pulls of those that it asks for. Who comes while
-// another synchronises with the peer waits for that.
+// synchronise requests the entries of a space that this node lacks from a peer, and pushes or
+// advertises those that the peer lacks. Small entries are transferred before it returns; it
+// returns the pulls of large ones. A concurrent call for the same peer and space waits for the
+// running one.
 func (g *Gossip) synchronise(ctx context.Context, address netip.AddrPort, space peerpb.Space) ([]*pull, error) {
 	key := syncKey{peer: address, space: space}
-	run, begun := g.begin(key)
-	if !begun {
+	run, isNew := g.beginSync(key)
+	if !isNew {
 		select {
 		case <-ctx.Done():
 			return nil, ctx.Err()
@@ -105,48 +105,48 @@
 			return run.pulls, run.err
 		}
 	}
-	run.pulls, run.err = g.compare(ctx, address, space)
-	g.end(key, run)
+	run.pulls, run.err = g.compareAndSync(ctx, address, space)
+	g.endSync(key, run)
 	return run.pulls, run.err
 }
 
-func (g *Gossip) compare(ctx context.Context, address netip.AddrPort, space peerpb.Space) ([]*pull, error) {
-	ctx, cancel := context.WithTimeout(ctx, syncFor)
+func (g *Gossip) compareAndSync(ctx context.Context, address netip.AddrPort, space peerpb.Space) ([]*pull, error) {
+	ctx, cancel := context.WithTimeout(ctx, syncTimeout)
 	defer cancel()
-	store, err := g.options.Spaces.of(space)
+	store, err := g.options.Spaces.storeFor(space)
 	if err != nil {
 		return nil, err
 	}
-	reply, err := g.compared(ctx, address, space, store.Sums())
+	reply, err := g.requestCompare(ctx, address, space, store.Sums())
 	if err != nil {
 		return nil, err
 	}
 	if reply.GetMany() {
-		if err := g.takeBulk(ctx, address, space, store, reply.GetSums()); err != nil {
+		if err := g.fetchBulk(ctx, address, space, store, reply.GetSums()); err != nil {
 			return nil, err
 		}
-		// Where much changes meanwhile the next heartbeat goes on.
-		if reply, err = g.compared(ctx, address, space, store.Sums()); err != nil || reply.GetMany() {
+		// Under constant change, the next heartbeat continues.
+		if reply, err = g.requestCompare(ctx, address, space, store.Sums()); err != nil || reply.GetMany() {
 			return nil, err
 		}
 	}
-	versions := versionsOf(reply.GetVersions())
+	versions := decodeVersions(reply.GetVersions())
 	newer, wanted := store.Newer(reply.GetSums(), versions)
 	lacking := make(map[string]published.Version, len(wanted))
 	for _, key := range wanted {
 		lacking[key] = versions[key]
 	}
-	pulls, err := g.ask(ctx, address, space, lacking, !g.options.Direct(space))
+	pulls, err := g.requestEntries(ctx, address, space, lacking, !g.options.Direct(space))
 	if err != nil {
 		return pulls, err
 	}
 	if !lacksAny(store, lacking) {
 		store.Complete(reply.GetThrough())
 	}
-	return pulls, g.tell(ctx, address, space, newer)
+	return pulls, g.offerEntries(ctx, address, space, newer)
 }
 
-// lacksAny reports whether a store still lacks any of some versions.
+// lacksAny reports whether a store lacks any of the versions.
 func lacksAny(store Store, versions map[string]published.Version) bool {
 	for key, v := range versions {
 		if store.Lacks(key, v) {
@@ -156,14 +156,14 @@
 	return false
 }
 
-func (g *Gossip) compared(ctx context.Context, address netip.AddrPort, space peerpb.Space, sums []uint64) (*peerpb.CompareReply, error) {
-	ctx, cancel := context.WithTimeout(ctx, callFor)
+func (g *Gossip) requestCompare(ctx context.Context, address netip.AddrPort, space peerpb.Space, sums []uint64) (*peerpb.CompareReply, error) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	return g.client(address).Compare(ctx, &peerpb.CompareRequest{Space: space, Sums: sums})
 }
 
-// begin returns the synchronisation with a key, and whether it is a new one.
-func (g *Gossip) begin(key syncKey) (*synchronisation, bool) {
+// beginSync returns the running synchronisation with the key, or a new one and true.
+func (g *Gossip) beginSync(key syncKey) (*synchronisation, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if run := g.syncing[key]; run != nil {
@@ -174,29 +174,29 @@
 	return run, true
 }
 
-func (g *Gossip) end(key syncKey, run *synchronisation) {
+func (g *Gossip) endSync(key syncKey, run *synchronisation) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	delete(g.syncing, key)
 	close(run.done)
 }
 
-func (g *Gossip) synchronising(key syncKey) bool {
+func (g *Gossip) isSynchronising(key syncKey) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.syncing[key] != nil
 }
 
-// fetch asks for small entries, as many at a time as one part of a large one has
-// bytes, within this node's share of its link. Peers are told of them where tell is set.
-func (g *Gossip) fetch(ctx context.Context, client peerpb.Peer, space peerpb.Space, keys []string, versions map[string]published.Version, tell bool) error {
+// fetch fetches small entries in batches of partBytes, within the share of the link for entries.
+// They are advertised to other peers if readvertise is set.
+func (g *Gossip) fetch(ctx context.Context, client peerpb.Peer, space peerpb.Space, keys []string, versions map[string]published.Version, readvertise bool) error {
 	for len(keys) > 0 {
 		count, bytes := 0, 0
 		for count < len(keys) && (count == 0 || bytes+versions[keys[count]].Bytes <= partBytes) {
 			bytes += versions[keys[count]].Bytes
 			count++
 		}
-		if err := g.fetchOnce(ctx, client, space, keys[:count], tell); err != nil {
+		if err := g.fetchOnce(ctx, client, space, keys[:count], readvertise); err != nil {
 			return err
 		}
 		keys = keys[count:]
@@ -204,28 +204,28 @@
 	return nil
 }
 
-func (g *Gossip) fetchOnce(ctx context.Context, client peerpb.Peer, space peerpb.Space, keys []string, tell bool) error {
-	store, err := g.options.Spaces.of(space)
+func (g *Gossip) fetchOnce(ctx context.Context, client peerpb.Peer, space peerpb.Space, keys []string, readvertise bool) error {
+	store, err := g.options.Spaces.storeFor(space)
 	if err != nil {
 		return err
 	}
-	asked, cancel := context.WithTimeout(ctx, callFor)
+	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	reply, err := client.Fetch(asked, &peerpb.FetchRequest{Space: space, Keys: keys})
+	reply, err := client.Fetch(callCtx, &peerpb.FetchRequest{Space: space, Keys: keys})
 	if err != nil {
 		return err
 	}
-	entries := entriesOf(reply.GetEntries())
+	entries := decodeEntries(reply.GetEntries())
 	if accepted := store.Offer(entries...); len(accepted) > 0 {
 		g.options.Accepted(space, accepted)
-		if tell {
-			g.gather(space, accepted, true)
+		if readvertise {
+			g.queueSpread(space, accepted, true)
 		}
 	}
-	return pace(ctx, g.received, bytesOf(entries))
+	return pace(ctx, g.receiveLimiter, entryBytes(entries))
 }
 
-func bytesOf(entries []published.Entry) int {
+func entryBytes(entries []published.Entry) int {
 	bytes := 0
 	for _, e := range entries {
 		bytes += len(e.Key) + len(e.Data)
@@ -237,14 +237,14 @@
 	if len(entries) == 0 {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, callFor)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	_, err := client.Push(ctx, &peerpb.PushRequest{Space: space, Entries: entryMessages(entries)})
 	return err
 }
 
-// accepted passes on what came into force by a peer.
-func (g *Gossip) accepted(space peerpb.Space, entries []published.Entry) {
+// handleAccepted reports entries from a peer that came into force, and spreads them.
+func (g *Gossip) handleAccepted(space peerpb.Space, entries []published.Entry) {
 	if len(entries) == 0 {
 		return
 	}
--- a/internal/peer/synchronise_test.go
+++ b/internal/peer/synchronise_test.go
@@ -13,10 +13,11 @@
 	"github.com/wingvale/wingvale/internal/published"
 )
 
-// Two parts of a node that compared with the same peer at the same time: the
-// second did not wait, and said that it had what the peer has.
-func TestWhatIsSynchronisedIsThere(t *testing.T) {
-	talkers(t, 2, func(t *testing.T, _ *memnet.Network, all []*talker) {
+// Guards against a synchronisation that returns early: two callers synchronised with the same
+// peer at the same time, and the second one did not wait, and reported that the node had the
+// peer's entries.
+func TestConcurrentSynchroniseWaitsForEntries(t *testing.T) {
+	runNodes(t, 2, func(t *testing.T, _ *memnet.Network, all []*testNode) {
 		all[0].store.Offer(published.Entry{Key: key, Revision: 1, Data: noise(200_000, 1)})
 		var both sync.WaitGroup
 		for range 2 {
--- a/internal/peer/targets.go
+++ b/internal/peer/targets.go
@@ -10,18 +10,18 @@
 	"github.com/wingvale/wingvale/internal/owner"
 )
 
-// next returns the member to contact: each live neighbour once a round in random
-// order, and now and then, at a heartbeat that is not a quick one, one that is
-// taken for gone.
-func (g *Gossip) next(quick bool) (netip.AddrPort, bool) {
+// nextTarget returns the member to contact. It returns each reachable neighbour once per
+// rotation in random order, and at one in goneProbeEvery heartbeats, quick ones not counted, a
+// member considered gone.
+func (g *Gossip) nextTarget(quick bool) (netip.AddrPort, bool) {
 	members := g.options.View.Members()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !quick {
-		g.beats++
+		g.heartbeats++
 	}
-	if !quick && g.beats%goneEvery == 0 {
-		if gone := goneOf(members, g.options.Listed); len(gone) > 0 {
+	if !quick && g.heartbeats%goneProbeEvery == 0 {
+		if gone := listedGone(members, g.options.Listed); len(gone) > 0 {
 			return gone[g.random.IntN(len(gone))], true
 		}
 	}
@@ -45,14 +45,14 @@
 	}
 }
 
-// neighbours returns the members that a host contacts in a large fleet: those that
-// rendezvous names, so that connections to them are used again. As many others contact
-// each of them, and what one knows reaches all by as few steps as at random.
+// neighbours returns the members that a host contacts in a large fleet. They are chosen by
+// rendezvous hashing, so that connections to them are reused. Each host is contacted by as many
+// others, and news reaches all hosts in as few steps as with random targets.
 func neighbours(self netip.AddrPort, addresses []netip.AddrPort) []netip.AddrPort {
-	if len(addresses) <= neighboursMost {
+	if len(addresses) <= maxNeighbours {
 		return addresses
 	}
-	return owner.Top(addresses, self.String(), neighboursMost)
+	return owner.Top(addresses, self.String(), maxNeighbours)
 }
 
 func reachable(members []fleet.Member) []netip.AddrPort {
@@ -65,7 +65,7 @@
 	return addresses
 }
 
-func goneOf(members []fleet.Member, listed func(netip.AddrPort) bool) []netip.AddrPort {
+func listedGone(members []fleet.Member, listed func(netip.AddrPort) bool) []netip.AddrPort {
 	var addresses []netip.AddrPort
 	for _, m := range members {
 		if m.State == fleet.StateGone && listed(m.Address) {
@@ -75,8 +75,8 @@
 	return addresses
 }
 
-// pick returns up to count live members at random, without the one excepted.
-func (g *Gossip) pick(count int, except netip.AddrPort) []fleet.Member {
+// pickLive returns up to count random live members other than except.
+func (g *Gossip) pickLive(count int, except netip.AddrPort) []fleet.Member {
 	var live []fleet.Member
 	for _, m := range g.options.View.Members() {
 		if m.State != fleet.StateGone && m.State != fleet.StateSuspect && m.Address != except {
