--- a/internal/fleet/leaving.go
+++ b/internal/fleet/leaving.go
@@ -14,22 +14,22 @@
 	"github.com/wingvale/wingvale/pipeline"
 )
 
-// LeavingServer marks a backend server that must get no new work.
+// LeavingServer identifies an instance of a backend server that must get no new work.
 type LeavingServer struct {
 	Address netip.AddrPort `json:"address"`
-	// Instance is the run of the server that is leaving.
+	// Instance identifies the run of the server that is leaving.
 	Instance string `json:"instance"`
 }
 
-// Leaving tells a peer of a backend server that leaves.
+// Leaving reports a leaving backend server to a peer.
 type Leaving struct {
 	LeavingServer
-	// Age is how long ago the first node heard of it, so that it ends everywhere at
-	// about the same time: told anew without its age, a mark goes round for ever.
+	// Age is the time since the first node learned of it, so that the mark expires on all nodes
+	// at about the same time. Without it, nodes would renew the mark from each other for ever.
 	Age time.Duration
 }
 
-// compare orders servers by address, then by run.
+// compare orders servers by address, then by instance.
 func (s LeavingServer) compare(other LeavingServer) int {
 	if c := s.Address.Compare(other.Address); c != 0 {
 		return c
@@ -37,58 +37,58 @@
 	return cmp.Compare(s.Instance, other.Instance)
 }
 
-// Check reports the first thing wrong with s.
+// Check reports the first invalid field of s.
 func (s LeavingServer) Check() error {
 	if !s.Address.IsValid() || len(s.Instance) > pipeline.MaxNameBytes {
-		return fmt.Errorf("fleet: leaving server %q with instance %.80q", s.Address, s.Instance)
+		return fmt.Errorf("fleet: invalid leaving server: address %q, instance %.80q", s.Address, s.Instance)
 	}
 	return nil
 }
 
-type mark struct {
+type leavingMark struct {
 	LeavingServer
-	since   time.Time
-	spreads int
+	markedAt time.Time
+	spreads  int
 }
 
-// MarkLeaving notes that a run of a backend server is leaving and reports
-// whether that was new.
+// MarkLeaving records that an instance of a backend server is leaving and reports whether that
+// was new.
 func (v *View) MarkLeaving(now time.Time, s LeavingServer) bool {
 	return v.HeardLeaving(now, Leaving{LeavingServer: s})
 }
 
-// HeardLeaving is MarkLeaving for what a peer tells.
+// HeardLeaving is like MarkLeaving for a report from a peer.
 func (v *View) HeardLeaving(now time.Time, s Leaving) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.leaving[s.LeavingServer] != nil || len(v.leaving) >= maxLeaving || s.Age >= v.options.LeavingFor {
 		return false
 	}
-	v.leaving[s.LeavingServer] = &mark{LeavingServer: s.LeavingServer, since: now.Add(-s.Age)}
-	v.leavingAt[s.Address]++
+	v.leaving[s.LeavingServer] = &leavingMark{LeavingServer: s.LeavingServer, markedAt: now.Add(-s.Age)}
+	v.leavingByAddress[s.Address]++
 	return true
 }
 
-// unmark forgets that a run of a backend server is leaving. The mutex must be held.
+// unmark removes the mark of an instance of a backend server. The mutex must be held.
 func (v *View) unmark(s LeavingServer) {
 	delete(v.leaving, s)
-	if v.leavingAt[s.Address]--; v.leavingAt[s.Address] == 0 {
-		delete(v.leavingAt, s.Address)
+	if v.leavingByAddress[s.Address]--; v.leavingByAddress[s.Address] == 0 {
+		delete(v.leavingByAddress, s.Address)
 	}
 }
 
-// IsLeaving reports whether that run of the backend server is known to leave.
-// An empty instance matches any.
+// IsLeaving reports whether the instance of the backend server is known to be leaving. An empty
+// instance matches any instance.
 func (v *View) IsLeaving(address netip.AddrPort, instance string) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if instance == "" {
-		return v.leavingAt[address] > 0
+		return v.leavingByAddress[address] > 0
 	}
 	return v.leaving[LeavingServer{Address: address, Instance: instance}] != nil || v.leaving[LeavingServer{Address: address}] != nil
 }
 
-// Leaving returns the backend servers known to leave, in order.
+// Leaving returns the backend servers known to be leaving, in order.
 func (v *View) Leaving() []LeavingServer {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -101,11 +101,11 @@
 }
 
 func (v *View) leavingNews(now time.Time, spreads int, random *rand.Rand) []Leaving {
-	all := make([]*mark, 0, len(v.leaving))
+	all := make([]*leavingMark, 0, len(v.leaving))
 	for _, m := range v.leaving {
 		all = append(all, m)
 	}
-	slices.SortFunc(all, func(a, b *mark) int {
+	slices.SortFunc(all, func(a, b *leavingMark) int {
 		if a.spreads != b.spreads {
 			return a.spreads - b.spreads
 		}
@@ -117,15 +117,15 @@
 			break
 		}
 		m.spreads++
-		news = append(news, m.told(now))
+		news = append(news, m.withAge(now))
 	}
 	if len(all) > 0 && len(news) == 0 {
-		news = append(news, all[random.IntN(len(all))].told(now))
+		news = append(news, all[random.IntN(len(all))].withAge(now))
 	}
 	return news
 }
 
-// told is what peers are told of the server.
-func (m *mark) told(now time.Time) Leaving {
-	return Leaving{LeavingServer: m.LeavingServer, Age: max(now.Sub(m.since), 0)}
+// withAge returns the report of the mark to send to peers.
+func (m *leavingMark) withAge(now time.Time) Leaving {
+	return Leaving{LeavingServer: m.LeavingServer, Age: max(now.Sub(m.markedAt), 0)}
 }
--- a/internal/fleet/member.go
+++ b/internal/fleet/member.go
@@ -12,23 +12,23 @@
 	"github.com/wingvale/wingvale/request"
 )
 
-// State is what the view holds of a member.
+// State is the state of a member in a view.
 type State int
 
 const (
 	// StateLive is a member that answers.
 	StateLive State = iota
-	// StateSuspect is a member that has not answered; it may refute that.
+	// StateSuspect is a member that did not answer. It may refute the suspicion.
 	StateSuspect
-	// StateLeaving is a member that is stopping as planned. It sticks.
+	// StateLeaving is a member that is shutting down as planned. It does not become live again.
 	StateLeaving
-	// StateGone is a member that was suspect for long, or has stopped.
+	// StateGone is a member that was suspect for too long or has shut down.
 	StateGone
 )
 
 var stateNames = []string{"live", "suspect", "leaving", "gone"}
 
-// String returns the state's name.
+// String returns the name of the state.
 func (s State) String() string {
 	if s < 0 || int(s) >= len(stateNames) {
 		return fmt.Sprintf("state(%d)", int(s))
@@ -36,56 +36,56 @@
 	return stateNames[s]
 }
 
-// MarshalText returns the state's name.
+// MarshalText returns the name of the state.
 func (s State) MarshalText() ([]byte, error) {
 	return []byte(s.String()), nil
 }
 
-// Member is one entry host as some node last knew it.
+// Member is the latest known record of an entry host.
 type Member struct {
-	// Address is where callers reach the member; it names it.
+	// Address is the address that callers use. It identifies the member.
 	Address netip.AddrPort `json:"address"`
-	// Peer is where other nodes reach it.
+	// Peer is the address of the peer protocol.
 	Peer netip.AddrPort `json:"peer"`
-	// Zone is its availability zone.
+	// Zone is the availability zone.
 	Zone string `json:"zone"`
-	// Incarnation is the one that its request ids bear.
+	// Incarnation is the incarnation in the request ids of the member.
 	Incarnation request.Incarnation `json:"incarnation"`
-	// Beat orders what is said of a member. Only the member itself raises it:
-	// at its start to the clock, and by one to refute a suspicion.
+	// Beat orders the records of a member. Only the member itself increases it: it starts at
+	// the clock, and increases by one to refute a suspicion.
 	Beat uint64 `json:"beat"`
-	// State is what is said.
+	// State is the state of the member in this record.
 	State State `json:"state"`
-	// Load is how busy the member says it is, in thousandths of what it admits.
+	// Load is the load that the member reports, in thousandths of what it admits.
 	Load int `json:"load"`
-	// Capacity is how much the host can do beside others, from 1 to
-	// CapacityMost; 0 is not told.
+	// Capacity is the capacity of the host relative to other hosts, from 1 to CapacityMost; 0
+	// means unknown.
 	Capacity int `json:"capacity,omitempty"`
-	// Reads says that the publisher answers the member.
+	// Reads reports whether the publisher answers the member.
 	Reads bool `json:"reads,omitempty"`
 }
 
-// CapacityMost is the largest capacity of a member.
+// CapacityMost is the maximum capacity of a member.
 const CapacityMost = 64
 
-// Check reports the first thing wrong with m as it came from a peer.
+// Check reports the first invalid field of m, as received from a peer.
 func (m Member) Check() error {
 	if !m.Address.IsValid() || !m.Peer.IsValid() {
-		return fmt.Errorf("fleet: member with address %q and peer %q", m.Address, m.Peer)
+		return fmt.Errorf("fleet: invalid member: address %q, peer address %q", m.Address, m.Peer)
 	}
 	if err := pipeline.CheckName("zone", m.Zone); err != nil {
 		return err
 	}
 	if m.Capacity < 0 || m.Capacity > CapacityMost {
-		return fmt.Errorf("fleet: member %s with capacity %d", m.Address, m.Capacity)
+		return fmt.Errorf("fleet: member %s: invalid capacity %d", m.Address, m.Capacity)
 	}
 	if m.State < StateLive || m.State > StateGone {
-		return fmt.Errorf("fleet: member %s with state %d", m.Address, m.State)
+		return fmt.Errorf("fleet: member %s: invalid state %d", m.Address, m.State)
 	}
 	return nil
 }
 
-// supersedes reports whether m says more than old of the same address.
+// supersedes reports whether m is a newer record than old of the same address.
 func (m Member) supersedes(old Member) bool {
 	if c := cmp.Compare(m.Beat, old.Beat); c != 0 {
 		return c > 0
--- a/internal/fleet/sums.go
+++ b/internal/fleet/sums.go
@@ -12,25 +12,25 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Buckets is how many parts views are compared by. With 300 hosts one that came
-// or went makes a part of some 10 members differ, 0.5 KB.
+// Buckets is the number of buckets by which views are compared. With 300 hosts, a host that
+// joined or left makes a bucket of some 10 members differ, 0.5 KB.
 const Buckets = 32
 
-// Sums sum up a view by parts: where two views have equal ones, they hold the same
-// members in the same states.
+// Sums are the checksums of a view by bucket. Two views with equal sums hold the same members in
+// the same states.
 type Sums [Buckets]uint64
 
-// SumsOf checks sums that came from a peer.
+// SumsOf converts sums received from a peer, or returns an error if their number is wrong.
 func SumsOf(sums []uint64) (Sums, error) {
 	var s Sums
 	if len(sums) != Buckets {
-		return s, fmt.Errorf("fleet: %d sums of a view, want %d", len(sums), Buckets)
+		return s, fmt.Errorf("fleet: view has %d sums, want %d", len(sums), Buckets)
 	}
 	copy(s[:], sums)
 	return s, nil
 }
 
-// Total sums up the whole view.
+// Total returns a checksum of the whole view.
 func (s Sums) Total() uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -40,8 +40,8 @@
 	return d.Sum64()
 }
 
-// Sums returns the sums of the view, the node itself included. Members that are
-// gone count as not there: each view forgets them in its own time.
+// Sums returns the sums of the view, including the node itself. Members that are gone are left
+// out: each view forgets them at a different time.
 func (v *View) Sums() Sums {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -49,15 +49,15 @@
 }
 
 func (v *View) sums() Sums {
-	if v.summed != nil {
-		return *v.summed
+	if v.cachedSums != nil {
+		return *v.cachedSums
 	}
 	var sums Sums
 	sums.add(v.self)
 	for _, k := range v.members {
 		sums.add(k.Member)
 	}
-	v.summed = &sums
+	v.cachedSums = &sums
 	return sums
 }
 
@@ -65,12 +65,12 @@
 	if m.State == StateGone {
 		return
 	}
-	// Adding does not depend on the order.
-	s[bucketOf(m.Address)] += m.sum()
+	// Addition is independent of the order of members.
+	s[bucketOf(m.Address)] += m.hash()
 }
 
-// Differing returns what the view holds in the parts in which another's sums
-// differ, members that are gone included.
+// Differing returns the members, also those that are gone, in the buckets in which the sums of
+// another view differ.
 func (v *View) Differing(other Sums) []Member {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -95,15 +95,15 @@
 	return members
 }
 
-// Beyond returns those of the members held that say more than those told, which
-// are what another holds of the same parts.
-func Beyond(held, told []Member) []Member {
-	byAddress := make(map[netip.AddrPort]Member, len(told))
-	for _, m := range told {
+// Beyond returns the records in ownMembers that are newer than those in peerMembers, which
+// are the records of another view in the same buckets.
+func Beyond(ownMembers, peerMembers []Member) []Member {
+	byAddress := make(map[netip.AddrPort]Member, len(peerMembers))
+	for _, m := range peerMembers {
 		byAddress[m.Address] = m
 	}
 	var beyond []Member
-	for _, m := range held {
+	for _, m := range ownMembers {
 		old, ok := byAddress[m.Address]
 		if !ok && m.State != StateGone || ok && m.supersedes(old) {
 			beyond = append(beyond, m)
@@ -112,8 +112,8 @@
 	return beyond
 }
 
-// sum depends on all that makes two views differ; how busy a member is does not.
-func (m Member) sum() uint64 {
+// hash covers every field that makes two views differ. The load is not one of them.
+func (m Member) hash() uint64 {
 	var d xxhash.Digest
 	d.Reset()
 	writeAddress(&d, m.Address)
--- a/internal/fleet/sums_test.go
+++ b/internal/fleet/sums_test.go
@@ -21,7 +21,7 @@
 	return v
 }
 
-func TestSumsTellWhetherViewsDiffer(t *testing.T) {
+func TestSumsDifferIfViewsDiffer(t *testing.T) {
 	live, suspect, leaving, gone := fleet.StateLive, fleet.StateSuspect, fleet.StateLeaving, fleet.StateGone
 	base := []fleet.Member{member(2, 1, 5, live), member(3, 1, 5, live)}
 	cases := []struct {
@@ -57,8 +57,8 @@
 	}
 }
 
-// A stop that one has heard of and a later beat that the other has meet in two steps.
-func TestViewsAreLevelAfterTwoExchangesOfWhatDiffers(t *testing.T) {
+// A record of a shutdown in one view and one with a later beat in the other converge in two rounds.
+func TestViewsConvergeAfterTwoExchanges(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 3))
 	for range 50 {
 		one, other := view(1), view(2)
@@ -70,9 +70,9 @@
 			}
 		}
 		for range 2 {
-			told := other.Differing(one.Sums())
-			back := fleet.Beyond(one.Differing(other.Sums()), told)
-			one.Merge(start, told...)
+			reported := other.Differing(one.Sums())
+			back := fleet.Beyond(one.Differing(other.Sums()), reported)
+			one.Merge(start, reported...)
 			other.Merge(start, back...)
 		}
 		level := map[netip.AddrPort]fleet.State{}
@@ -87,7 +87,7 @@
 	}
 }
 
-func TestSuspectsThatAreGoneChangeTheSums(t *testing.T) {
+func TestSumsChangeWhenSuspectIsGone(t *testing.T) {
 	v := view(1, member(2, 1, 5, fleet.StateLive))
 	v.Suspect(start, member(2, 0, 0, 0).Address)
 	before := v.Sums()
--- a/internal/fleet/view.go
+++ b/internal/fleet/view.go
@@ -13,9 +13,9 @@
 	"time"
 )
 
-// Options sets the times of a View. Zero fields take the defaults.
+// Options sets the durations of a View. Zero fields take the defaults.
 type Options struct {
-	// SuspectFor is how long a suspect may refute before it is gone.
+	// SuspectFor is how long a suspect may refute the suspicion before it is considered gone.
 	SuspectFor time.Duration
 	// ForgetAfter is how long a gone member is remembered.
 	ForgetAfter time.Duration
@@ -23,7 +23,7 @@
 	LeavingFor time.Duration
 }
 
-// Defaults of Options.
+// Default values of Options.
 const (
 	DefaultSuspectFor  = 4 * time.Second
 	DefaultForgetAfter = 10 * time.Minute
@@ -31,100 +31,98 @@
 )
 
 const (
-	// spreadFactor times the logarithm of the fleet's size is how often one
-	// piece of news is passed on.
+	// spreadFactor times the logarithm of the fleet size is how often a change is passed on.
 	spreadFactor = 3
-	// MaxNews bounds the members in one message, and the servers in it.
+	// MaxNews bounds the members in one message, and the leaving servers in it.
 	MaxNews = 16
-	// maxMembers and maxLeaving bound the view.
+	// maxMembers and maxLeaving bound the size of a view.
 	maxMembers = 4096
 	maxLeaving = 1 << 16
 )
 
-// View is one node's view. It is safe for concurrent use.
+// View is the view of one node. It is safe for concurrent use.
 type View struct {
 	options Options
 
 	mu sync.Mutex
-	// self is what the node says of itself; its Beat never falls.
+	// self is the record of the node itself; its Beat never decreases.
 	self    Member
-	members map[netip.AddrPort]*known
-	// leaving has each run that leaves, also those that had the same address one after
-	// another.
-	leaving map[LeavingServer]*mark
-	// leavingAt counts those of each address; none is 0.
-	leavingAt map[netip.AddrPort]int
-	// undisturbed is when a member last came, went or changed its state.
-	undisturbed time.Time
-	// version rises with each change of who is a member, in which state or run, and
-	// where it is reached; beats and loads leave it as it is.
+	members map[netip.AddrPort]*memberRecord
+	// leaving has every leaving instance, including several that had the same address one
+	// after the other.
+	leaving map[LeavingServer]*leavingMark
+	// leavingByAddress counts the instances in leaving by address; no count is 0.
+	leavingByAddress map[netip.AddrPort]int
+	// lastChangeAt is when a member last joined, left or changed its state.
+	lastChangeAt time.Time
+	// version increases when a member joins, leaves, restarts, or changes its state or
+	// addresses; beats and loads do not change it.
 	version uint64
-	// summed has the sums of the view; nil where it changed since they were made.
-	summed *Sums
+	// cachedSums has the sums of the view; nil if it changed since they were computed.
+	cachedSums *Sums
 }
 
-type known struct {
+type memberRecord struct {
 	Member
-	// since is when the state was entered.
-	since time.Time
+	// stateSince is when the member entered its state.
+	stateSince time.Time
 	// spreads counts how often the state was passed on.
 	spreads int
 }
 
-// New returns a view that knows only self.
+// New returns a view that holds only self.
 func New(self Member, now time.Time, options Options) *View {
 	options.SuspectFor = cmp.Or(options.SuspectFor, DefaultSuspectFor)
 	options.ForgetAfter = cmp.Or(options.ForgetAfter, DefaultForgetAfter)
 	options.LeavingFor = cmp.Or(options.LeavingFor, DefaultLeavingFor)
 	return &View{
-		options:     options,
-		self:        self,
-		members:     make(map[netip.AddrPort]*known),
-		leaving:     make(map[LeavingServer]*mark),
-		leavingAt:   make(map[netip.AddrPort]int),
-		undisturbed: now,
+		options:          options,
+		self:             self,
+		members:          make(map[netip.AddrPort]*memberRecord),
+		leaving:          make(map[LeavingServer]*leavingMark),
+		leavingByAddress: make(map[netip.AddrPort]int),
+		lastChangeAt:     now,
 	}
 }
 
-// Self returns what the node says of itself.
+// Self returns the record of the node itself.
 func (v *View) Self() Member {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.self
 }
 
-// SetLoad changes the load that the node says it has.
+// SetLoad sets the load that the node reports.
 func (v *View) SetLoad(load int) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.self.Load = load
 }
 
-// SetReads changes whether the publisher answers the node, and reports whether
-// that was news.
+// SetReads sets whether the publisher answers the node, and reports whether that changed.
 func (v *View) SetReads(reads bool) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.self.Reads == reads {
 		return false
 	}
-	v.self.Reads, v.summed = reads, nil
+	v.self.Reads, v.cachedSums = reads, nil
 	v.self.Beat++
 	v.version++
 	return true
 }
 
-// Leave makes the node say that it is leaving. It cannot be taken back.
+// Leave marks the node itself as leaving. This cannot be undone.
 func (v *View) Leave() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.self.State, v.summed = StateLeaving, nil
+	v.self.State, v.cachedSums = StateLeaving, nil
 	v.self.Beat++
 	v.version++
 }
 
-// Merge takes in what a peer says of members and reports whether anything was
-// new. What is said of the node itself it refutes by a higher beat.
+// Merge merges records of members from a peer and reports whether any was new. It refutes
+// records of the node itself with a higher beat.
 func (v *View) Merge(now time.Time, members ...Member) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -138,7 +136,7 @@
 func (v *View) merge(now time.Time, m Member) bool {
 	if m.Address == v.self.Address {
 		if m.supersedes(v.self) || m.Incarnation != v.self.Incarnation && m.Beat >= v.self.Beat {
-			v.self.Beat, v.summed = m.Beat+1, nil
+			v.self.Beat, v.cachedSums = m.Beat+1, nil
 		}
 		return false
 	}
@@ -147,18 +145,18 @@
 		if m.State == StateGone || len(v.members) >= maxMembers {
 			return false
 		}
-		v.members[m.Address] = &known{Member: m, since: now}
-		v.undisturbed, v.summed = now, nil
+		v.members[m.Address] = &memberRecord{Member: m, stateSince: now}
+		v.lastChangeAt, v.cachedSums = now, nil
 		v.version++
 		return true
 	}
 	if !m.supersedes(old.Member) {
 		return false
 	}
-	v.summed = nil
+	v.cachedSums = nil
 	sameRun := m.Incarnation == old.Incarnation
 	if sameRun && old.State == StateLeaving && m.State < StateLeaving {
-		// Leaving sticks for the incarnation, whatever is said later.
+		// An incarnation that is leaving never becomes live again.
 		m.State = StateLeaving
 	}
 	changed := m.State != old.State || m.Reads != old.Reads || !sameRun
@@ -167,13 +165,13 @@
 	}
 	old.Member = m
 	if changed {
-		old.since, old.spreads = now, 0
-		v.undisturbed = now
+		old.stateSince, old.spreads = now, 0
+		v.lastChangeAt = now
 	}
 	return changed
 }
 
-// Heard notes a message straight from a member and reports whether it was new.
+// Heard merges the record that a member sent of itself, and reports whether it was new.
 func (v *View) Heard(now time.Time, m Member) bool {
 	news := v.Merge(now, m)
 	v.mu.Lock()
@@ -184,7 +182,7 @@
 	return news
 }
 
-// Suspect notes that a member did not answer, straight or by others.
+// Suspect records that a member answered neither directly nor through other nodes.
 func (v *View) Suspect(now time.Time, address netip.AddrPort) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -192,21 +190,20 @@
 	if k == nil || k.State == StateSuspect || k.State == StateGone {
 		return
 	}
-	// One that said it was leaving has left; it is not expected back.
+	// A leaving member that does not answer has shut down; it will not refute a suspicion.
 	if k.State == StateLeaving {
 		k.State = StateGone
 	} else {
 		k.State = StateSuspect
 	}
-	k.since, k.spreads = now, 0
-	v.undisturbed, v.summed = now, nil
+	k.stateSince, k.spreads = now, 0
+	v.lastChangeAt, v.cachedSums = now, nil
 	v.version++
 }
 
-// Listed takes in the entry hosts of the host list. A host that the view lacks
-// is added as the list has it, with a beat below any of its own. That the list
-// calls an entry host leaving is not taken over: the list lags, and the mark
-// could hit the next run at the same address.
+// Listed merges the entry hosts of the host list. A host that is not in the view is added with a
+// beat below any of its own. The leaving flag of an entry host in the list is not merged into
+// known members: the list lags, and the flag could apply to the next run at the same address.
 func (v *View) Listed(now time.Time, hosts []Member) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -217,30 +214,30 @@
 		k := v.members[h.Address]
 		if k == nil {
 			h.Beat, h.Incarnation = 0, 0
-			v.members[h.Address] = &known{Member: h, since: now}
-			v.undisturbed, v.summed = now, nil
+			v.members[h.Address] = &memberRecord{Member: h, stateSince: now}
+			v.lastChangeAt, v.cachedSums = now, nil
 			v.version++
 		}
 	}
 }
 
-// Tick moves suspects that did not refute to gone, forgets what is old, and
-// must be called about once a second.
+// Tick marks suspects as gone that did not refute the suspicion, and forgets old members and
+// leaving servers. It must be called about once a second.
 func (v *View) Tick(now time.Time, listed func(netip.AddrPort) bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for address, k := range v.members {
-		age := now.Sub(k.since)
+		age := now.Sub(k.stateSince)
 		switch {
 		case k.State == StateSuspect && age >= v.options.SuspectFor:
 			k.State = StateGone
-			k.since, k.spreads = now, 0
-			v.undisturbed, v.summed = now, nil
+			k.stateSince, k.spreads = now, 0
+			v.lastChangeAt, v.cachedSums = now, nil
 			v.version++
 		case k.State == StateLeaving && age >= v.options.ForgetAfter:
 			k.State = StateGone
-			k.since, k.spreads = now, 0
-			v.summed = nil
+			k.stateSince, k.spreads = now, 0
+			v.cachedSums = nil
 			v.version++
 		case k.State == StateGone && age >= v.options.ForgetAfter && !listed(address):
 			delete(v.members, address)
@@ -248,13 +245,13 @@
 		}
 	}
 	for s, m := range v.leaving {
-		if now.Sub(m.since) >= v.options.LeavingFor {
+		if now.Sub(m.markedAt) >= v.options.LeavingFor {
 			v.unmark(s)
 		}
 	}
 }
 
-// Members returns a copy of all members but the node itself, in order.
+// Members returns a copy of all members except the node itself, in order.
 func (v *View) Members() []Member {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -266,27 +263,27 @@
 	return members
 }
 
-// Version rises whenever a member comes, goes, starts anew or changes its state, and with
-// nothing else: what depends on these alone can be kept while it stays.
+// Version increases whenever a member joins, leaves, restarts or changes its state or addresses,
+// and at no other change. Results derived from these alone can be cached while it is unchanged.
 func (v *View) Version() uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.version
 }
 
-// LastToLeave returns the members that are leaving and not known to have left,
-// the last first.
+// LastToLeave returns the members that are leaving and not known to have shut down, the most
+// recent first.
 func (v *View) LastToLeave() []Member {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	var leaving []*known
+	var leaving []*memberRecord
 	for _, k := range v.members {
 		if k.State == StateLeaving {
 			leaving = append(leaving, k)
 		}
 	}
-	slices.SortFunc(leaving, func(a, b *known) int {
-		if c := b.since.Compare(a.since); c != 0 {
+	slices.SortFunc(leaving, func(a, b *memberRecord) int {
+		if c := b.stateSince.Compare(a.stateSince); c != 0 {
 			return c
 		}
 		return a.Address.Compare(b.Address)
@@ -298,7 +295,7 @@
 	return members
 }
 
-// Of returns the member at address.
+// Of returns the member with the address, which may be the node itself.
 func (v *View) Of(address netip.AddrPort) (Member, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -312,36 +309,36 @@
 	return k.Member, true
 }
 
-// Undisturbed returns how long the view has not changed.
+// Undisturbed returns the time since a member last joined, left or changed its state.
 func (v *View) Undisturbed(now time.Time) time.Duration {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return now.Sub(v.undisturbed)
+	return now.Sub(v.lastChangeAt)
 }
 
-// Disturb restarts the time that Undisturbed tells, as after a pause.
+// Disturb restarts the time that Undisturbed returns, for example after a pause of the process.
 func (v *View) Disturb(now time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.undisturbed = now
+	v.lastChangeAt = now
 }
 
-// News is what one message passes on.
+// News is the content of one gossip message.
 type News struct {
 	Members []Member
 	Leaving []Leaving
 }
 
-// News returns the node itself and at most MaxNews members and servers: what
-// has been passed on least often first, then a few at random so that views
-// that were cut off from each other meet again. Among equals the order is random:
-// else all nodes of a fleet that starts pass the same few members on.
+// News returns the record of the node itself and at most MaxNews members and MaxNews leaving
+// servers. Those that were passed on least often come first, then a few at random, so that views
+// that were partitioned converge again. The order among equals is random: otherwise all nodes of
+// a starting fleet would pass on the same few members.
 func (v *View) News(now time.Time, random *rand.Rand) News {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	spreads := spreadFactor * bits.Len(uint(len(v.members)+1))
 	news := News{Members: []Member{v.self}}
-	var fresh, rest []*known
+	var fresh, rest []*memberRecord
 	for _, k := range v.members {
 		rest = append(rest, k)
 		if k.spreads < spreads {
@@ -349,7 +346,7 @@
 		}
 	}
 	random.Shuffle(len(fresh), func(i, j int) { fresh[i], fresh[j] = fresh[j], fresh[i] })
-	slices.SortStableFunc(fresh, func(a, b *known) int { return a.spreads - b.spreads })
+	slices.SortStableFunc(fresh, func(a, b *memberRecord) int { return a.spreads - b.spreads })
 	for _, k := range fresh[:min(len(fresh), MaxNews)] {
 		k.spreads++
 		news.Members = append(news.Members, k.Member)
--- a/internal/fleet/view_test.go
+++ b/internal/fleet/view_test.go
@@ -29,9 +29,9 @@
 func TestMerge(t *testing.T) {
 	live, suspect, leaving, gone := fleet.StateLive, fleet.StateSuspect, fleet.StateLeaving, fleet.StateGone
 	cases := []struct {
-		name string
-		said []fleet.Member
-		want fleet.State
+		name    string
+		records []fleet.Member
+		want    fleet.State
 	}{
 		{"first news", []fleet.Member{member(1, 1, 5, live)}, live},
 		{"suspicion of the same beat counts", []fleet.Member{member(1, 1, 5, live), member(1, 1, 5, suspect)}, suspect},
@@ -44,7 +44,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			v := fleet.New(self, start, fleet.Options{})
-			for _, m := range c.said {
+			for _, m := range c.records {
 				v.Merge(start, m)
 			}
 			got, ok := v.Of(member(1, 0, 0, live).Address)
@@ -54,11 +54,11 @@
 	}
 }
 
-func TestNodeRefutesWhatIsSaidOfIt(t *testing.T) {
+func TestNodeRefutesRecordsOfItself(t *testing.T) {
 	cases := []struct {
-		name string
-		said fleet.Member
-		// beats is by how much the node must be above what was said.
+		name   string
+		record fleet.Member
+		// higher is whether the node must answer with a higher beat.
 		higher bool
 	}{
 		{"suspect", member(0, 1, 10, fleet.StateSuspect), true},
@@ -69,14 +69,14 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			v := fleet.New(self, start, fleet.Options{})
-			v.Merge(start, c.said)
-			assert.Equal(t, v.Self().Beat > c.said.Beat, c.higher, "got beat %d after %d", v.Self().Beat, c.said.Beat)
+			v.Merge(start, c.record)
+			assert.Equal(t, v.Self().Beat > c.record.Beat, c.higher, "got beat %d after %d", v.Self().Beat, c.record.Beat)
 			assert.Equal(t, v.Self().State, fleet.StateLive)
 		})
 	}
 }
 
-func TestSuspectIsGoneInTimeAndLeavingAtOnce(t *testing.T) {
+func TestSuspectIsGoneAfterTimeoutAndLeavingAtOnce(t *testing.T) {
 	v := fleet.New(self, start, fleet.Options{})
 	v.Merge(start, member(1, 1, 5, fleet.StateLive), member(2, 1, 5, fleet.StateLeaving))
 	v.Suspect(start, member(1, 0, 0, 0).Address)
@@ -98,7 +98,7 @@
 	return all
 }
 
-func TestLeavingServerIsItsRunOnly(t *testing.T) {
+func TestLeavingServerAppliesToOneInstance(t *testing.T) {
 	v := fleet.New(self, start, fleet.Options{})
 	server := member(9, 0, 0, 0).Address
 	assert.Assert(t, v.MarkLeaving(start, fleet.LeavingServer{Address: server, Instance: "one"}))
@@ -106,16 +106,16 @@
 	assert.Assert(t, v.IsLeaving(server, "one"))
 	assert.Assert(t, v.IsLeaving(server, ""))
 	assert.Assert(t, !v.IsLeaving(server, "two"))
-	// A later run at the address leaves too, and a peer tells of the first once more: with
-	// one held for each address, what was known of the later run was lost.
+	// Guards against one mark per address: a later run at the address was leaving too, and a
+	// peer reported the first run again, so that the mark of the later run was lost.
 	v.MarkLeaving(start, fleet.LeavingServer{Address: server, Instance: "two"})
 	v.MarkLeaving(start, fleet.LeavingServer{Address: server, Instance: "one"})
 	assert.Assert(t, v.IsLeaving(server, "two"))
 }
 
-// A mark that was told without its age came back from a peer that had heard of it later,
-// and with three nodes it never ended.
-func TestMarksOfLeavingServersEnd(t *testing.T) {
+// Guards against marks that never expire: without its age, a mark came back from a peer that had
+// learned of it later, and with three nodes it never expired.
+func TestLeavingMarksExpire(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	server := fleet.LeavingServer{Address: member(9, 0, 0, 0).Address, Instance: "one"}
 	views := []*fleet.View{fleet.New(self, start, fleet.Options{}), fleet.New(member(2, 1, 1, fleet.StateLive), start, fleet.Options{})}
@@ -142,15 +142,15 @@
 		v.MarkLeaving(start, fleet.LeavingServer{Address: member(i+1, 0, 0, 0).Address})
 	}
 	random := rand.New(rand.NewPCG(1, 1))
-	told := make(map[string]bool)
+	reported := make(map[string]bool)
 	for range 400 {
 		news := v.News(start, random)
 		assert.Equal(t, news.Members[0].Address, self.Address)
 		assert.Assert(t, len(news.Members) <= fleet.MaxNews+1, "got %d members", len(news.Members))
 		assert.Assert(t, len(news.Leaving) <= fleet.MaxNews, "got %d servers", len(news.Leaving))
 		for _, m := range news.Members {
-			told[fmt.Sprint(m.Address)] = true
+			reported[fmt.Sprint(m.Address)] = true
 		}
 	}
-	assert.Equal(t, len(told), 561)
+	assert.Equal(t, len(reported), 561)
 }
