--- a/internal/published/entry.go
+++ b/internal/published/entry.go
@@ -13,23 +13,23 @@
 type Entry struct {
 	// Key is at most MaxKeyBytes long.
 	Key string `json:"key"`
-	// Revision is the service's and is at least 1.
+	// Revision is the revision that the service assigned, at least 1.
 	Revision uint64 `json:"revision"`
-	// Removed marks a removal; Data is then empty.
+	// Removed marks a tombstone; Data is then empty.
 	Removed bool `json:"removed,omitempty"`
 	// Data is the value as published.
 	Data []byte `json:"data,omitempty"`
 }
 
-// MaxKeyBytes bounds a key.
+// MaxKeyBytes is the maximum length of a key.
 const MaxKeyBytes = 256
 
-// LargeBytes is the size from which a value is handed on as its difference from
-// an earlier one, and asked for by those who lack it. Smaller ones are sent
-// unasked: asking would cost as much.
+// LargeBytes is the size from which a value is large. Large values are advertised, requested by
+// nodes that lack them, and transferred as a delta against an earlier version. Smaller ones are
+// pushed: a request would cost as much as the value.
 const LargeBytes = 4 << 10
 
-// Large reports whether the entry's value is a large one.
+// Large reports whether the value of the entry is large.
 func (v Version) Large() bool {
 	return v.Bytes >= LargeBytes
 }
@@ -42,11 +42,11 @@
 	return xxhash.Sum64(e.Data)
 }
 
-// Version orders entries of one key.
+// Version orders the entries of one key.
 type Version struct {
 	Revision uint64 `json:"revision"`
 	Digest   uint64 `json:"digest"`
-	// Bytes is the size of the value. It orders nothing.
+	// Bytes is the size of the value. It is not part of the order.
 	Bytes int `json:"bytes"`
 }
 
@@ -58,7 +58,7 @@
 	return cmp.Compare(v.Digest, other.Digest)
 }
 
-// Version returns the entry's place in the order.
+// Version returns the version of the entry.
 func (e Entry) Version() Version {
 	return Version{Revision: e.Revision, Digest: e.Digest(), Bytes: len(e.Data)}
 }
--- a/internal/published/host.go
+++ b/internal/published/host.go
@@ -12,7 +12,7 @@
 	"github.com/wingvale/wingvale/pipeline"
 )
 
-// Role tells what runs at a host's address.
+// Role is the kind of process that runs at a host's address.
 type Role string
 
 // Roles of the host list.
@@ -23,27 +23,27 @@
 	RoleService Role = "service"
 )
 
-// Host is one line of the platform's host list.
+// Host is one entry of the platform's host list.
 type Host struct {
-	// Address is where the host is reached and equals the line's key.
+	// Address is the address of the host. It equals the entry's key.
 	Address netip.AddrPort `json:"address"`
-	// Peer is where an entry host is reached by the others; entry only.
+	// Peer is the address of the peer protocol; entry hosts only.
 	Peer netip.AddrPort `json:"peer,omitzero"`
-	// Role tells what runs there.
+	// Role is the kind of process at the address.
 	Role Role `json:"role"`
-	// Pool names the pool of a backend server.
+	// Pool is the pool of a backend server.
 	Pool string `json:"pool,omitempty"`
 	// Zone is the availability zone.
 	Zone string `json:"zone"`
-	// Leaving says that the host must get no new work.
+	// Leaving reports that the host must get no new work.
 	Leaving bool `json:"leaving,omitempty"`
-	// Instance tells one run of a backend server from the next at its address.
+	// Instance distinguishes the runs of backend servers at one address.
 	Instance string `json:"instance,omitempty"`
-	// ChecksOrders says that an engine refuses orders with an old fence.
+	// ChecksOrders reports that an engine refuses orders with an outdated fence.
 	ChecksOrders bool `json:"checks_orders,omitempty"`
 }
 
-// DecodeHost reads one line of the host list and checks it.
+// DecodeHost decodes and validates one entry of the host list.
 func DecodeHost(key string, data []byte) (Host, error) {
 	var h Host
 	d := json.NewDecoder(bytes.NewReader(data))
@@ -59,7 +59,7 @@
 
 func (h Host) check(key string) error {
 	if !h.Address.IsValid() || h.Address.String() != key {
-		return fmt.Errorf("address %q is not the key", h.Address)
+		return fmt.Errorf("address %q differs from the key", h.Address)
 	}
 	if err := pipeline.CheckName("zone", h.Zone); err != nil {
 		return err
@@ -70,7 +70,7 @@
 	switch h.Role {
 	case RoleEntry:
 		if !h.Peer.IsValid() {
-			return fmt.Errorf("an entry host needs a peer address")
+			return fmt.Errorf("entry host has no peer address")
 		}
 		return nil
 	case RoleEngine, RolePool, RoleService:
--- a/internal/published/reads.go
+++ b/internal/published/snapshot.go
@@ -8,14 +8,14 @@
 	"slices"
 )
 
-// Revision returns the revision in force of key, 0 for none.
+// Revision returns the revision of key in force, 0 if there is none.
 func (s *Store[V]) Revision(key string) uint64 {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.held[key].entry.Revision
 }
 
-// Get returns the value in force under key.
+// Get returns the value of key in force.
 func (s *Store[V]) Get(key string) (V, bool) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -27,8 +27,7 @@
 	return h.value, true
 }
 
-// Values returns all values in force. The map is shared and must not be
-// changed.
+// Values returns all values in force. The map is shared and must not be modified.
 func (s *Store[V]) Values() map[string]V {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -43,27 +42,27 @@
 	return s.values
 }
 
-// Current is what a key has in force.
+// Current is the state of a key in force.
 type Current[V any] struct {
 	Key      string
 	Revision uint64
-	// Removed says that there is no value.
+	// Removed reports that the key has no value.
 	Removed bool
 	Value   V
 }
 
-// TakeChanged returns what the keys have now that changed since the last call, in order;
-// all keys at the first. It serves one reader.
+// TakeChanged returns the current state of the keys that changed since the last call, in order,
+// and of all keys at the first call. It supports a single reader.
 func (s *Store[V]) TakeChanged() []Current[V] {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var keys []string
-	if s.touched == nil {
+	if s.changedKeys == nil {
 		keys = slices.Collect(maps.Keys(s.held))
 	} else {
-		keys = slices.Collect(maps.Keys(s.touched))
+		keys = slices.Collect(maps.Keys(s.changedKeys))
 	}
-	s.touched = make(map[string]struct{})
+	s.changedKeys = make(map[string]struct{})
 	slices.Sort(keys)
 	changed := make([]Current[V], 0, len(keys))
 	for _, key := range keys {
@@ -88,15 +87,15 @@
 	return h.entry, ok
 }
 
-// EntryOf returns the entry of key with a version, the held one or one that was
-// replaced lately.
+// EntryOf returns the entry of key with the given version, which may be one that was replaced
+// recently.
 func (s *Store[V]) EntryOf(key string, version Version) (Entry, bool) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	if h, ok := s.held[key]; ok && h.version.Compare(version) == 0 {
 		return h.entry, true
 	}
-	for _, e := range s.earlier[key] {
+	for _, e := range s.replaced[key] {
 		if e.Version().Compare(version) == 0 {
 			return e, true
 		}
@@ -104,7 +103,7 @@
 	return Entry{}, false
 }
 
-// Entries returns the held entries of keys, tombstones included.
+// Entries returns the held entries of keys, including tombstones.
 func (s *Store[V]) Entries(keys ...string) []Entry {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -117,7 +116,7 @@
 	return entries
 }
 
-// InBuckets returns the held entries of some buckets, tombstones included.
+// InBuckets returns the held entries of some buckets, including tombstones.
 func (s *Store[V]) InBuckets(buckets []int) map[int][]Entry {
 	entries := make(map[int][]Entry, len(buckets))
 	if len(buckets) == 0 {
@@ -137,7 +136,7 @@
 	return entries
 }
 
-// State is what the dump shows of a store.
+// State is the debug dump of a store.
 type State struct {
 	Summary   Summary           `json:"summary"`
 	Keys      int               `json:"keys"`
@@ -146,7 +145,7 @@
 	Conflicts int               `json:"conflicts"`
 }
 
-// State returns at most limit keys, in order.
+// State returns a dump of at most limit keys, in order.
 func (s *Store[V]) State(limit int) State {
 	state := State{Summary: s.Summary(), Revisions: make(map[string]uint64)}
 	s.mu.RLock()
--- a/internal/published/through.go
+++ b/internal/published/spans.go
@@ -7,37 +7,37 @@
 	"slices"
 )
 
-// Complete notes that the store has every key up to a revision: the service
-// said so, or a peer that holds the same.
+// Complete records that the store has every key up to a revision, as confirmed by the service or
+// by a peer that holds the same entries.
 func (s *Store[V]) Complete(through uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.through = max(s.through, through)
-	s.join()
+	s.mergeSpans()
 }
 
-// spansMost bounds the spans that wait for what came before them.
-const spansMost = 64
+// maxSpans bounds the spans that wait for earlier changes.
+const maxSpans = 64
 
-// span is that all changes after one revision through another are held.
+// span records that all changes after one revision up to another are held.
 type span struct {
 	after, through uint64
 }
 
-// Covered notes that the store has all changes after one revision through another. Where
-// it lacks some before them, that counts once it has these.
+// Covered records that the store has all changes after revision after up to revision through. If
+// it lacks earlier changes, the span takes effect once it has those.
 func (s *Store[V]) Covered(after, through uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if through > s.through {
 		s.spans = append(s.spans, span{after: after, through: through})
 	}
-	s.join()
-	s.spans = s.spans[max(len(s.spans)-spansMost, 0):]
+	s.mergeSpans()
+	s.spans = s.spans[max(len(s.spans)-maxSpans, 0):]
 }
 
-// join raises through by the spans that begin at it or before. The mutex must be held.
-func (s *Store[V]) join() {
+// mergeSpans advances through by the spans that start at or before it. The mutex must be held.
+func (s *Store[V]) mergeSpans() {
 	for before := len(s.spans) + 1; len(s.spans) < before; {
 		before = len(s.spans)
 		s.spans = slices.DeleteFunc(s.spans, func(p span) bool {
--- a/internal/published/through_test.go
+++ b/internal/published/spans_test.go
@@ -15,28 +15,28 @@
 	return published.New(func(_ string, data []byte) (string, error) { return string(data), nil })
 }
 
-// Batches of changes may overtake each other, and one may be lost.
-func TestSpansCountOnceWhatCameBeforeThemIsThere(t *testing.T) {
+// Batches of changes may be reordered, and one may be lost.
+func TestSpansTakeEffectAfterEarlierChanges(t *testing.T) {
 	s := newStore()
 	s.Complete(10)
 	s.Covered(10, 14)
 	assert.Equal(t, s.Summary().Through, uint64(14))
 	s.Covered(18, 22)
 	s.Covered(22, 30)
-	assert.Equal(t, s.Summary().Through, uint64(14), "what lies between is not there")
+	assert.Equal(t, s.Summary().Through, uint64(14), "the changes in between are missing")
 	s.Covered(12, 18)
 	assert.Equal(t, s.Summary().Through, uint64(30))
 	s.Covered(40, 50)
 	s.Complete(42)
 	assert.Equal(t, s.Summary().Through, uint64(50))
 	s.Covered(20, 25)
-	assert.Equal(t, s.Summary().Through, uint64(50), "it never falls")
+	assert.Equal(t, s.Summary().Through, uint64(50), "it never decreases")
 }
 
-func TestAReaderGetsEachChangeOnce(t *testing.T) {
+func TestTakeChangedReturnsEachChangeOnce(t *testing.T) {
 	s := newStore()
 	s.Offer(published.Entry{Key: "a", Revision: 1, Data: []byte("1")}, published.Entry{Key: "b", Revision: 2, Data: []byte("2")})
-	assert.Equal(t, len(s.TakeChanged()), 2, "all at first")
+	assert.Equal(t, len(s.TakeChanged()), 2, "all keys at first")
 	assert.Equal(t, len(s.TakeChanged()), 0)
 	s.Offer(published.Entry{Key: "b", Revision: 3, Data: []byte("3")})
 	s.Offer(published.Entry{Key: "b", Revision: 4, Data: []byte("4")}, published.Entry{Key: "a", Revision: 5, Removed: true})
--- a/internal/published/store.go
+++ b/internal/published/store.go
@@ -13,73 +13,71 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Buckets is how many parts the keys are split into when two nodes compare.
+// Buckets is the number of buckets by which two nodes compare their keys.
 const Buckets = 64
 
-// MaxKeys bounds the keys of one store.
+// MaxKeys is the maximum number of keys of one store.
 const MaxKeys = 1 << 16
 
-// Summary tells in a few bytes what a store holds. Equal summaries mean equal
-// entries in force, but for a chance of one in 2^64.
+// Summary is a short digest of a store. Equal summaries mean equal entries in force, except with
+// a probability of 1 in 2^64.
 type Summary struct {
 	// Revision is the highest revision in force.
 	Revision uint64 `json:"revision"`
-	// Sum combines all entries in force.
+	// Sum is the combined hash of all entries in force.
 	Sum uint64 `json:"sum"`
-	// Through is the revision up to which the store has every key. Keys with
-	// higher revisions may be there before others that are lower.
+	// Through is the revision up to which the store has every key. The store may have keys with
+	// higher revisions while it lacks others in between.
 	Through uint64 `json:"through"`
 }
 
-// Same reports whether both hold the same entries.
+// Same reports whether both stores hold the same entries.
 func (s Summary) Same(other Summary) bool {
 	return s.Sum == other.Sum
 }
 
-// Rejection tells why an entry is not in force.
+// Rejection reports why an entry is not in force.
 type Rejection struct {
 	Key      string `json:"key"`
 	Revision uint64 `json:"revision"`
 	Reason   string `json:"reason"`
 }
 
-// Store holds the entries in force, decoded as V. It is safe for concurrent
-// use.
+// Store holds the entries in force, decoded as V. It is safe for concurrent use.
 type Store[V any] struct {
 	decode func(key string, data []byte) (V, error)
 
 	mu sync.RWMutex
-	// held has for each key the highest valid entry, tombstones included. An
-	// entry is only ever replaced by a higher one.
-	held map[string]held[V]
-	// earlier has the last large entries that were replaced, the newest last, at
-	// most earlierKept for a key: others may hold them still.
-	earlier map[string][]Entry
-	// rejected has for each key the highest invalid entry above the held one.
+	// held has the highest valid entry of each key, including tombstones. An entry is only
+	// replaced by a higher one.
+	held map[string]heldEntry[V]
+	// replaced has the last large entries that were replaced, newest last, at most maxReplaced
+	// per key. They are bases for deltas to nodes that still hold them.
+	replaced map[string][]Entry
+	// rejected has, for each key, the highest invalid entry above the held one.
 	rejected map[string]Rejection
-	// untold has the rejections that TakeRejected has not returned yet, at most
-	// maxUntold.
-	untold []Rejection
+	// unreported has the rejections that TakeRejected has not returned yet, at most
+	// maxUnreported.
+	unreported []Rejection
 	// sums has the combined hash of each bucket of held.
 	sums     [Buckets]uint64
 	revision uint64
-	// through is the revision up to which every key is held. It never falls.
+	// through is the revision up to which every key is held. It never decreases.
 	through uint64
-	// spans are those that the store was told of and that begin beyond through, at most
-	// spansMost.
+	// spans are the reported spans that start after through, at most maxSpans.
 	spans []span
-	// conflicts counts equal revisions that came with different bytes.
+	// conflicts counts entries with an equal revision and different bytes.
 	conflicts int
 	// changed is closed and replaced when an entry comes into force.
 	changed chan struct{}
-	// values is a snapshot of the decoded values, nil when out of date.
+	// values is a snapshot of the decoded values, nil when outdated.
 	values map[string]V
-	// touched are the keys that changed since TakeChanged returned them last; nil
-	// before it is first called, when all have.
-	touched map[string]struct{}
+	// changedKeys has the keys that changed since the last TakeChanged; nil before its first call,
+	// which returns all keys.
+	changedKeys map[string]struct{}
 }
 
-type held[V any] struct {
+type heldEntry[V any] struct {
 	entry   Entry
 	version Version
 	value   V
@@ -89,20 +87,20 @@
 func New[V any](decode func(key string, data []byte) (V, error)) *Store[V] {
 	return &Store[V]{
 		decode:   decode,
-		held:     make(map[string]held[V]),
-		earlier:  make(map[string][]Entry),
+		held:     make(map[string]heldEntry[V]),
+		replaced: make(map[string][]Entry),
 		rejected: make(map[string]Rejection),
 		changed:  make(chan struct{}),
 	}
 }
 
-// Offer merges entries and returns those that came into force by it.
+// Offer merges entries and returns those that came into force.
 func (s *Store[V]) Offer(entries ...Entry) []Entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var accepted []Entry
-	// The newest first: those below it are passed over without being decoded or
-	// handed on, as where a key changed often before it was heard of.
+	// Merge the newest first. Older entries of a key that changed often are then dropped without
+	// being decoded or spread.
 	entries = slices.Clone(entries)
 	slices.SortStableFunc(entries, func(a, b Entry) int { return cmp.Compare(b.Revision, a.Revision) })
 	for _, e := range entries {
@@ -134,12 +132,12 @@
 	}
 	if ok {
 		s.sums[bucketOf(e.Key)] ^= hashOf(e.Key, old.version)
-		s.keepEarlier(old)
+		s.keepReplaced(old)
 	}
 	s.sums[bucketOf(e.Key)] ^= hashOf(e.Key, version)
-	s.held[e.Key] = held[V]{entry: e, version: version, value: value}
-	if s.touched != nil {
-		s.touched[e.Key] = struct{}{}
+	s.held[e.Key] = heldEntry[V]{entry: e, version: version, value: value}
+	if s.changedKeys != nil {
+		s.changedKeys[e.Key] = struct{}{}
 	}
 	s.revision = max(s.revision, e.Revision)
 	if r, found := s.rejected[e.Key]; found && r.Revision <= e.Revision {
@@ -148,22 +146,22 @@
 	return true
 }
 
-// earlierKept is how many replaced entries of a key are kept: as many changes as
-// a host may be behind and still be told the difference only.
-const earlierKept = 2
+// maxReplaced is the number of replaced entries kept per key: a host may be as many changes
+// behind and still be sent a delta.
+const maxReplaced = 2
 
-func (s *Store[V]) keepEarlier(old held[V]) {
+func (s *Store[V]) keepReplaced(old heldEntry[V]) {
 	if !old.version.Large() {
 		return
 	}
-	kept := append(s.earlier[old.entry.Key], old.entry)
-	s.earlier[old.entry.Key] = slices.Clone(kept[max(len(kept)-earlierKept, 0):])
+	kept := append(s.replaced[old.entry.Key], old.entry)
+	s.replaced[old.entry.Key] = slices.Clone(kept[max(len(kept)-maxReplaced, 0):])
 }
 
 func (s *Store[V]) check(e Entry, known bool) (V, error) {
 	var zero V
 	if e.Revision == 0 {
-		return zero, fmt.Errorf("published: revision 0 of key %.80q", e.Key)
+		return zero, fmt.Errorf("published: key %.80q has revision 0", e.Key)
 	}
 	if len(e.Key) == 0 || len(e.Key) > MaxKeyBytes {
 		return zero, fmt.Errorf("published: key of %d bytes, want 1 to %d", len(e.Key), MaxKeyBytes)
@@ -186,21 +184,21 @@
 	}
 	r := Rejection{Key: e.Key, Revision: e.Revision, Reason: err.Error()}
 	s.rejected[e.Key] = r
-	if len(s.untold) < maxUntold {
-		s.untold = append(s.untold, r)
+	if len(s.unreported) < maxUnreported {
+		s.unreported = append(s.unreported, r)
 	}
 }
 
-// maxUntold bounds the rejections that wait to be told.
-const maxUntold = 100
+// maxUnreported bounds the rejections that wait to be logged.
+const maxUnreported = 100
 
 // TakeRejected returns the rejections since the last call, for the log.
 func (s *Store[V]) TakeRejected() []Rejection {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	untold := s.untold
-	s.untold = nil
-	return untold
+	unreported := s.unreported
+	s.unreported = nil
+	return unreported
 }
 
 // Listing is a full list of the service's keys as of one revision.
@@ -209,8 +207,8 @@
 	Entries  []Entry
 }
 
-// OfferListing merges a full listing. A held key that the listing lacks, and
-// that is not newer than the listing, was removed at or before its revision.
+// OfferListing merges a full listing. A held key that is not in the listing, and is not newer than
+// the listing, was removed at or before its revision.
 func (s *Store[V]) OfferListing(l Listing) []Entry {
 	listed := make(map[string]bool, len(l.Entries))
 	for _, e := range l.Entries {
@@ -227,7 +225,7 @@
 	return s.Offer(entries...)
 }
 
-// Summary returns what the store holds in short.
+// Summary returns the summary of the store.
 func (s *Store[V]) Summary() Summary {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -245,8 +243,7 @@
 	return slices.Clone(s.sums[:])
 }
 
-// Differing returns the versions of all keys in buckets whose hash differs
-// from sums.
+// Differing returns the versions of all keys in the buckets whose hash differs from sums.
 func (s *Store[V]) Differing(sums []uint64) map[string]Version {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -260,13 +257,13 @@
 	return versions
 }
 
-// Newer returns the held entries that are above versions, in the buckets whose
-// hash differs from sums, and the keys of versions that are above the held.
+// Newer compares the store with the versions of a peer in the buckets whose hash differs from
+// sums. It returns the held entries that are newer, and the keys of which the peer's are newer.
 func (s *Store[V]) Newer(sums []uint64, versions map[string]Version) (newer []Entry, wanted []string) {
 	mine := s.Differing(sums)
 	for key, v := range versions {
 		if own, ok := mine[key]; !ok || v.Compare(own) > 0 {
-			if own, ok = s.version(key); !ok || v.Compare(own) > 0 {
+			if own, ok = s.heldVersion(key); !ok || v.Compare(own) > 0 {
 				wanted = append(wanted, key)
 			}
 		}
@@ -279,8 +276,7 @@
 	return newer, wanted
 }
 
-// Lacks reports whether version of key is above what the store holds or has
-// refused.
+// Lacks reports whether version of key is newer than the held and the rejected entry.
 func (s *Store[V]) Lacks(key string, version Version) bool {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -291,7 +287,7 @@
 	return !refused || r.Revision < version.Revision
 }
 
-func (s *Store[V]) version(key string) (Version, bool) {
+func (s *Store[V]) heldVersion(key string) (Version, bool) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	h, ok := s.held[key]
--- a/internal/published/store_test.go
+++ b/internal/published/store_test.go
@@ -44,7 +44,7 @@
 	cases := []struct {
 		name    string
 		offered []published.Entry
-		// want is the weight in force, 0 for none.
+		// want is the weight in force, 0 if there is none.
 		want     int
 		rejected int
 	}{
@@ -75,7 +75,7 @@
 	}
 }
 
-func TestAnyOrderGivesTheSameStore(t *testing.T) {
+func TestMergeIsIndependentOfOrder(t *testing.T) {
 	var entries []published.Entry
 	for k := range 20 {
 		name := fmt.Sprintf("workspaces/w%d", k)
@@ -100,7 +100,7 @@
 	}
 }
 
-func TestStaleListingTakesNothingAway(t *testing.T) {
+func TestStaleListingRemovesNothing(t *testing.T) {
 	s := published.New(pipeline.Decode)
 	s.Offer(entry(5, 7))
 	s.OfferListing(published.Listing{Revision: 4})
@@ -111,7 +111,7 @@
 	assert.Equal(t, weightOf(s), 0, "a stale listing must not bring it back")
 }
 
-func TestTwoStoresCompareByParts(t *testing.T) {
+func TestStoresCompareByBuckets(t *testing.T) {
 	a, b := published.New(pipeline.Decode), published.New(pipeline.Decode)
 	for i := range 500 {
 		e := published.Entry{Key: fmt.Sprintf("workspaces/w%d", i), Revision: 1, Data: fmt.Appendf(nil, `{"format":1,"name":"w%d","customer":"c","weight":1,"pipelines":{}}`, i)}
@@ -138,14 +138,14 @@
 	})
 }
 
-func TestRejectionsAreToldOnce(t *testing.T) {
+func TestRejectionsAreReturnedOnce(t *testing.T) {
 	s := published.New(pipeline.Decode)
 	s.Offer(entry(1, 5))
 	s.Offer(entry(2, 5000), entry(2, 5000))
-	told := s.TakeRejected()
-	assert.Equal(t, len(told), 1)
-	assert.Equal(t, told[0].Key, key)
-	assert.Equal(t, told[0].Revision, uint64(2))
+	rejections := s.TakeRejected()
+	assert.Equal(t, len(rejections), 1)
+	assert.Equal(t, rejections[0].Key, key)
+	assert.Equal(t, rejections[0].Revision, uint64(2))
 	assert.Equal(t, len(s.TakeRejected()), 0)
-	assert.Equal(t, weightOf(s), 5, "the last good one stays")
+	assert.Equal(t, weightOf(s), 5, "the last valid value stays in force")
 }
