--- a/internal/publisher/protocol.go
+++ b/internal/publisher/protocol.go
@@ -16,7 +16,7 @@
 const (
 	// SpaceConfiguration has templates, workspaces and models.
 	SpaceConfiguration Space = "configuration"
-	// SpaceHosts has the host list, a key for each host.
+	// SpaceHosts has the host list, with one key per host.
 	SpaceHosts Space = "hosts"
 )
 
@@ -26,15 +26,15 @@
 	PathWatch  = "/v1/spaces/%s/watch"
 )
 
-// Values answers a read: all keys as of one revision, or with After set in a
-// watch, all keys that changed since.
+// Values is the response to a read, with all keys as of one revision, or to a watch, with all
+// keys that changed after the requested revision.
 type Values struct {
-	// Revision is the service's as of this answer.
+	// Revision is the revision of the service as of this response.
 	Revision uint64 `json:"revision"`
 	Values   []Item `json:"values"`
 }
 
-// Item is one key's latest revision. Value holds the text as published.
+// Item is the latest revision of one key. Value is the text as published.
 type Item struct {
 	Key      string `json:"key"`
 	Revision uint64 `json:"revision"`
@@ -42,7 +42,7 @@
 	Value    string `json:"value,omitempty"`
 }
 
-// Check refuses an answer with more keys than a store holds.
+// Check returns an error if the response has more keys, or larger values, than a store accepts.
 func (v Values) Check() error {
 	if len(v.Values) > published.MaxKeys {
 		return fmt.Errorf("publisher: %d keys, at most %d are allowed", len(v.Values), published.MaxKeys)
@@ -55,8 +55,8 @@
 	return nil
 }
 
-// Entries returns the items as the store takes them. An item newer than the
-// answer's own revision is left out: the service contradicts itself.
+// Entries returns the items as entries of a store. It omits items that are newer than the revision
+// of the response, which would be a contradiction by the service.
 func (v Values) Entries() []published.Entry {
 	entries := make([]published.Entry, 0, len(v.Values))
 	for _, i := range v.Values {
--- a/internal/publisher/patience_test.go
+++ b/internal/publisher/timeouts_test.go
@@ -19,7 +19,7 @@
 
 var patience = publisher.Patience{First: 500 * time.Millisecond, Stall: time.Second, Whole: 30 * time.Second}
 
-// slowly answers in parts, one after each pause.
+// slowly returns a handler that answers in parts, each after a pause.
 func slowly(pauses ...time.Duration) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		for _, pause := range pauses {
@@ -34,10 +34,10 @@
 	}
 }
 
-// Seven hosts threw away a configuration that had come for a second and a half,
-// and read it again from its start, since an answer had 2.6 s in all and its link
-// was busy.
-func TestAnAnswerThatComesIsNotGivenUp(t *testing.T) {
+// Guards against a total time limit: seven hosts discarded a configuration that had been arriving
+// for a second and a half, and read it again from the start, since a response had 2.6 s in all and
+// their links were busy.
+func TestResponseWithProgressIsNotAborted(t *testing.T) {
 	const part = 900 * time.Millisecond
 	cases := []struct {
 		name   string
--- a/internal/publisher/watcher.go
+++ b/internal/publisher/watcher.go
@@ -16,174 +16,171 @@
 )
 
 const (
-	backoffFirst = 200 * time.Millisecond
-	backoffMost  = 5 * time.Second
-	// idleCheck is how often a node that need not watch asks again whether
-	// it must.
-	idleCheck = time.Second
-	// fullReadEvery is how often a watcher reads all keys, to see removals
-	// that a watch could have lost.
-	fullReadEvery = 5 * time.Minute
+	minBackoff = 200 * time.Millisecond
+	maxBackoff = 5 * time.Second
+	// idleCheckInterval is how often a node that need not watch checks whether it must.
+	idleCheckInterval = time.Second
+	// fullReadInterval is how often a watcher reads all keys, to detect removals that a watch
+	// may have missed.
+	fullReadInterval = 5 * time.Minute
 )
 
-// Store takes what was read.
+// Store merges entries that were read.
 type Store interface {
 	Offer(entries ...published.Entry) []published.Entry
 	OfferListing(l published.Listing) []published.Entry
 	Complete(through uint64)
 }
 
-// Source is where published values are read from.
+// Source reads published values.
 type Source interface {
-	// Read returns all keys of space as they are now.
+	// Read returns all current keys of space.
 	Read(ctx context.Context, space Space) (Values, error)
-	// Watch waits for changes of space after revision, and returns them, or
-	// nothing once some time has passed. It returns ErrCompacted where the
-	// revision is too old.
+	// Watch waits for changes of space after a revision and returns them, or no changes once
+	// some time has passed. It returns ErrCompacted if the revision is too old.
 	Watch(ctx context.Context, space Space, after uint64) (Values, error)
-	// News is Watch that does not wait.
+	// News is like Watch but does not wait.
 	News(ctx context.Context, space Space, after uint64) (Values, error)
 }
 
 // Accepted is called with entries that came into force by a read.
 type Accepted func(entries []published.Entry)
 
-// WatcherOptions are a Watcher's dependencies; all are needed.
+// WatcherOptions configures a Watcher. Fields are required unless they state otherwise.
 type WatcherOptions struct {
 	Source Source
 	Space  Space
 	Store  Store
-	// Must reports whether this node is one of those that watch now.
+	// Must reports whether this node must watch now.
 	Must func() bool
-	// Had waits at the start until others have told this node what they have. It calls
-	// yield once they are expected to: the node's own read of all keys then ends. It
-	// returns the revision up to which the store has every key by then, or 0 where this
-	// node must read all itself. Nil is that it must. A whole fleet that starts and reads
-	// all keys takes as long as its publisher's link needs for hosts times keys.
+	// Had waits at the start until peers have sent their entries to this node. It calls yield
+	// once they are expected to, which cancels the node's own read of all keys. It returns the
+	// revision up to which the store then has every key, or 0 if this node must read all keys
+	// itself. If Had is nil the node reads them itself. When a whole fleet starts and reads all
+	// keys, that takes as long as the link of the publisher needs for hosts times keys.
 	Had func(ctx context.Context, yield func()) uint64
-	// Through returns the revision up to which the store has every key, by whatever way;
-	// nil is not known. A node that comes to watch goes on from there instead of reading
-	// all.
+	// Through returns the revision up to which the store has every key from any source. A node
+	// that starts to watch continues from there instead of reading all keys. Nil means that the
+	// revision is unknown.
 	Through  func() uint64
 	Accepted Accepted
-	// Brought is told of all changes after one revision through another that a watch
-	// brought, also those that came by another way before; and, with no revisions, of
-	// what a later listing brought that was news. Nil is that nobody wants to know.
+	// Brought is called with all changes after one revision up to another that a watch
+	// returned, including those that the store already had. It is called without revisions for
+	// the new entries of a later listing. It may be nil.
 	Brought func(after, through uint64, entries []published.Entry)
-	// Lost is told when the source stops to answer, Regained when it answers
-	// again; both may be nil.
+	// Lost is called at each failed call to the source, and Regained when the source answers
+	// again. Both may be nil.
 	Lost     func()
 	Regained func()
-	// Answers is told at the first answer, and whenever the source stops to
-	// answer and does again; it may be nil.
+	// Answers is called at the first response, and whenever the source stops or resumes to
+	// answer. It may be nil.
 	Answers func(answers bool)
 	Log     logrus.FieldLogger
 	Random  *rand.Rand
-	// MostBackoff bounds the pause between tries; 0 takes the default.
+	// MostBackoff bounds the delay between retries; 0 means the default.
 	MostBackoff time.Duration
-	// Pause follows each watch that brought changes, so that many changes in a
-	// row come in few answers.
+	// Pause is the delay after each watch that returned changes, so that many changes in a row
+	// arrive in few responses.
 	Pause time.Duration
 }
 
-// Watcher keeps one space up to date from the platform, for as long as this
-// node is one of those that watch.
+// Watcher keeps one space up to date from the platform while this node must watch.
 type Watcher struct {
 	options WatcherOptions
 	done    chan struct{}
-	first   chan struct{}
+	ready   chan struct{}
 }
 
 // NewWatcher returns a watcher. Run must be called once.
 func NewWatcher(options WatcherOptions) *Watcher {
-	return &Watcher{options: options, done: make(chan struct{}), first: make(chan struct{})}
+	return &Watcher{options: options, done: make(chan struct{}), ready: make(chan struct{})}
 }
 
-// Done is closed when Run has returned.
+// Done returns a channel that is closed when Run has returned.
 func (w *Watcher) Done() <-chan struct{} {
 	return w.done
 }
 
-// First is closed when the space has been read once.
+// First returns a channel that is closed when the space has been read once.
 func (w *Watcher) First() <-chan struct{} {
-	return w.first
+	return w.ready
 }
 
-// Run reads the space once, whether this node must watch or not, and then
-// watches while it must, until ctx ends.
+// Run reads the space once, whether this node must watch or not, and then watches it while it
+// must, until ctx is cancelled.
 func (w *Watcher) Run(ctx context.Context) {
 	defer close(w.done)
-	listed := time.Time{}
-	lost := false
-	after, started := w.open(ctx)
+	lastFullRead := time.Time{}
+	unavailable := false
+	after, started := w.readInitially(ctx)
 	if started {
-		listed = time.Now()
-		close(w.first)
-		w.tell(true)
+		lastFullRead = time.Now()
+		close(w.ready)
+		w.reportAnswers(true)
 	}
-	backoff := backoffFirst
+	backoff := minBackoff
 	for ctx.Err() == nil {
 		if started && !w.options.Must() {
-			sleep(ctx, idleCheck)
-			after, listed = w.resume(after)
+			sleep(ctx, idleCheckInterval)
+			after, lastFullRead = w.resumeFrom(after)
 			continue
 		}
-		full := time.Since(listed) > fullReadEvery
-		spared := !started && after > 0
-		next, err := w.begin(ctx, after, full, spared)
-		if errors.Is(err, ErrCompacted) && spared {
+		full := time.Since(lastFullRead) > fullReadInterval
+		sentByPeers := !started && after > 0
+		next, err := w.readNext(ctx, after, full, sentByPeers)
+		if errors.Is(err, ErrCompacted) && sentByPeers {
 			after = 0
 			continue
 		}
 		if errors.Is(err, ErrCompacted) && !full {
-			// A history that is forgotten again and again must not make a busy
-			// loop of listings.
-			if time.Since(listed) < backoffFirst {
-				sleep(ctx, backoffFirst)
+			// A service that compacts its history again and again must not cause a busy loop
+			// of listings.
+			if time.Since(lastFullRead) < minBackoff {
+				sleep(ctx, minBackoff)
 			}
-			listed = time.Time{}
+			lastFullRead = time.Time{}
 			continue
 		}
 		if err != nil && ctx.Err() != nil {
 			return
 		}
 		if err != nil {
-			if !lost {
+			if !unavailable {
 				w.options.Log.WithError(err).WithField("space", w.options.Space).Warn("the platform does not answer")
 			}
-			if started && !lost {
-				w.tell(false)
+			if started && !unavailable {
+				w.reportAnswers(false)
 			}
-			lost = true
-			call(w.options.Lost)
+			unavailable = true
+			callIfSet(w.options.Lost)
 			sleep(ctx, backoff+time.Duration(w.options.Random.Int64N(int64(backoff))))
-			backoff = min(2*backoff, cmp.Or(w.options.MostBackoff, backoffMost))
+			backoff = min(2*backoff, cmp.Or(w.options.MostBackoff, maxBackoff))
 			continue
 		}
-		if lost {
-			lost = false
+		if unavailable {
+			unavailable = false
 			w.options.Log.WithField("space", w.options.Space).WithField("revision", next).Info("the platform answers again")
-			call(w.options.Regained)
-			w.tell(true)
+			callIfSet(w.options.Regained)
+			w.reportAnswers(true)
 		}
-		if time.Since(listed) > fullReadEvery {
-			listed = time.Now()
+		if time.Since(lastFullRead) > fullReadInterval {
+			lastFullRead = time.Now()
 		}
 		if !started {
 			started = true
-			close(w.first)
-			w.tell(true)
+			close(w.ready)
+			w.reportAnswers(true)
 		}
 		if next > after && w.options.Pause > 0 {
 			sleep(ctx, w.options.Pause)
 		}
-		after, backoff = next, backoffFirst
+		after, backoff = next, minBackoff
 	}
 }
 
-// open reads all keys unless others are to tell this node, and reports whether it has.
-// Else it returns the revision up to which they have told all, 0 for none.
-func (w *Watcher) open(ctx context.Context) (after uint64, read bool) {
+// readInitially reads all keys unless peers send them first, and reports whether it read them.
+// Otherwise it returns the revision up to which peers sent all entries, 0 if they did not.
+func (w *Watcher) readInitially(ctx context.Context) (after uint64, read bool) {
 	if w.options.Had == nil {
 		return 0, false
 	}
@@ -191,70 +188,69 @@
 	defer yield()
 	waiting, stop := context.WithCancel(ctx)
 	defer stop()
-	had := make(chan uint64, 1)
-	go func() { had <- w.options.Had(waiting, yield) }()
-	next, err := w.step(reading, 0, true)
+	peersDone := make(chan uint64, 1)
+	go func() { peersDone <- w.options.Had(waiting, yield) }()
+	next, err := w.readOrWatch(reading, 0, true)
 	if err != nil {
-		// Others may reach the source sooner; all that read again at its return would
-		// fill its link.
-		return <-had, false
+		// Peers may reach the source sooner. If all nodes read again when it returns, their
+		// reads would saturate its link.
+		return <-peersDone, false
 	}
 	stop()
-	<-had
+	<-peersDone
 	return next, true
 }
 
-// resume returns from which revision on a node watches that comes to do so, and when it
-// counts as having read all keys; zero is that it is to.
-func (w *Watcher) resume(after uint64) (uint64, time.Time) {
+// resumeFrom returns the revision from which a node that starts to watch continues, and the time
+// that counts as its last full read; the zero time causes a full read.
+func (w *Watcher) resumeFrom(after uint64) (uint64, time.Time) {
 	if w.options.Through == nil {
 		return after, time.Time{}
 	}
 	return max(after, w.options.Through()), time.Now()
 }
 
-// begin is step, but for a node that others have told all: it reads what has changed
-// since, and does not wait.
-func (w *Watcher) begin(ctx context.Context, after uint64, full, spared bool) (uint64, error) {
-	if !spared {
-		return w.step(ctx, after, full)
+// readNext is like readOrWatch, except that a node that got all entries from peers reads the
+// changes since then without waiting.
+func (w *Watcher) readNext(ctx context.Context, after uint64, full, sentByPeers bool) (uint64, error) {
+	if !sentByPeers {
+		return w.readOrWatch(ctx, after, full)
 	}
 	values, err := w.options.Source.News(ctx, w.options.Space, after)
 	if err != nil {
 		return 0, err
 	}
-	return w.take(after, values), nil
+	return w.apply(after, values), nil
 }
 
-// take takes in what changed after a revision.
-func (w *Watcher) take(after uint64, values Values) uint64 {
+// apply merges the changes after a revision and returns the revision to continue from.
+func (w *Watcher) apply(after uint64, values Values) uint64 {
 	entries := values.Entries()
 	w.accept(w.options.Store.Offer(entries...))
 	w.options.Store.Complete(values.Revision)
-	w.bring(after, values.Revision, entries)
+	w.reportChanges(after, values.Revision, entries)
 	return values.Revision
 }
 
 // started reports whether the space has been read once.
 func (w *Watcher) started() bool {
 	select {
-	case <-w.first:
+	case <-w.ready:
 		return true
 	default:
 		return false
 	}
 }
 
-func (w *Watcher) bring(after, through uint64, entries []published.Entry) {
+func (w *Watcher) reportChanges(after, through uint64, entries []published.Entry) {
 	if w.options.Brought != nil && len(entries) > 0 {
 		w.options.Brought(after, through, entries)
 	}
 }
 
-// step reads or watches once and returns the revision to go on from. That one
-// may be lower than the last where the service went back; the store takes no
-// harm from it.
-func (w *Watcher) step(ctx context.Context, after uint64, full bool) (uint64, error) {
+// readOrWatch reads or watches once and returns the revision to continue from. That may be lower
+// than the last one if the service was rolled back, which does not affect the store.
+func (w *Watcher) readOrWatch(ctx context.Context, after uint64, full bool) (uint64, error) {
 	if full {
 		values, err := w.options.Source.Read(ctx, w.options.Space)
 		if err != nil {
@@ -265,7 +261,7 @@
 		w.accept(accepted)
 		w.options.Store.Complete(values.Revision)
 		if w.started() {
-			w.bring(0, 0, accepted)
+			w.reportChanges(0, 0, accepted)
 		}
 		return values.Revision, nil
 	}
@@ -273,7 +269,7 @@
 	if err != nil {
 		return 0, err
 	}
-	return w.take(after, values), nil
+	return w.apply(after, values), nil
 }
 
 func (w *Watcher) accept(entries []published.Entry) {
@@ -282,13 +278,13 @@
 	}
 }
 
-func (w *Watcher) tell(answers bool) {
+func (w *Watcher) reportAnswers(answers bool) {
 	if w.options.Answers != nil {
 		w.options.Answers(answers)
 	}
 }
 
-func call(f func()) {
+func callIfSet(f func()) {
 	if f != nil {
 		f()
 	}
--- a/internal/publisher/watcher_test.go
+++ b/internal/publisher/watcher_test.go
@@ -20,7 +20,7 @@
 	"github.com/wingvale/wingvale/internal/publisher"
 )
 
-// source is a publisher with one key whose answers a test chooses.
+// source is a publisher with one key whose responses a test sets.
 type source struct {
 	mu       sync.Mutex
 	revision uint64
@@ -36,7 +36,7 @@
 	return publisher.Values{Revision: s.revision, Values: []publisher.Item{{Key: "k", Revision: s.revision, Value: "v"}}}, nil
 }
 
-// Read answers all keys.
+// Read returns all keys.
 func (s *source) Read(context.Context, publisher.Space) (publisher.Values, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -44,7 +44,7 @@
 	return s.answer()
 }
 
-// Watch answers after a second.
+// Watch returns after a second.
 func (s *source) Watch(ctx context.Context, _ publisher.Space, after uint64) (publisher.Values, error) {
 	select {
 	case <-ctx.Done():
@@ -57,7 +57,7 @@
 	return s.answer()
 }
 
-// News answers at once.
+// News returns at once.
 func (s *source) News(context.Context, publisher.Space, uint64) (publisher.Values, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -76,8 +76,8 @@
 	return s.reads, len(s.watches)
 }
 
-// watching runs a watcher of src in a bubble.
-func watching(t *testing.T, src *source, change func(o *publisher.WatcherOptions), do func(store *published.Store[string])) {
+// runWatcher runs a watcher of src in a synctest bubble.
+func runWatcher(t *testing.T, src *source, change func(o *publisher.WatcherOptions), do func(store *published.Store[string])) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		store := published.New(func(_ string, data []byte) (string, error) { return string(data), nil })
@@ -99,9 +99,9 @@
 	})
 }
 
-func TestAWatcherReadsOnceAndGoesOnFromThere(t *testing.T) {
+func TestWatcherReadsOnceThenWatches(t *testing.T) {
 	src := &source{revision: 7}
-	watching(t, src, nil, func(*published.Store[string]) {
+	runWatcher(t, src, nil, func(*published.Store[string]) {
 		time.Sleep(10500 * time.Millisecond)
 		reads, watches := src.counts()
 		assert.Equal(t, reads, 1)
@@ -110,10 +110,10 @@
 	})
 }
 
-// A source that answered every call so made a busy loop.
-func TestAForgottenRevisionIsReadAnew(t *testing.T) {
+// Guards against a busy loop of reads if the source answers every watch with ErrCompacted.
+func TestCompactedRevisionIsReadAgainWithBackoff(t *testing.T) {
 	src := &source{revision: 7}
-	watching(t, src, nil, func(*published.Store[string]) {
+	runWatcher(t, src, nil, func(*published.Store[string]) {
 		time.Sleep(500 * time.Millisecond)
 		src.set(9, publisher.ErrCompacted)
 		time.Sleep(3 * time.Second)
@@ -127,14 +127,14 @@
 	})
 }
 
-func TestAnOutageIsToldOnceAndItsEnd(t *testing.T) {
+func TestOutageAndRecoveryAreReported(t *testing.T) {
 	src := &source{revision: 7}
 	lost, regained := 0, 0
 	options := func(o *publisher.WatcherOptions) {
 		o.Lost, o.Regained = func() { lost++ }, func() { regained++ }
 		o.MostBackoff = 500 * time.Millisecond
 	}
-	watching(t, src, options, func(*published.Store[string]) {
+	runWatcher(t, src, options, func(*published.Store[string]) {
 		time.Sleep(1500 * time.Millisecond)
 		src.set(7, errors.New("down"))
 		time.Sleep(10 * time.Second)
@@ -142,14 +142,14 @@
 		src.set(8, nil)
 		time.Sleep(2 * time.Second)
 	})
-	// Each try that fails is told; the parts that hear it keep the first.
+	// Each failed call is reported; receivers use only the first report.
 	assert.Assert(t, lost > 0)
 	assert.Equal(t, regained, 1)
 }
 
-func TestANodeThatNeedNotWatchReadsOnlyAtItsStart(t *testing.T) {
+func TestNodeThatNeedNotWatchReadsOnlyAtStart(t *testing.T) {
 	src := &source{revision: 7}
-	watching(t, src, func(o *publisher.WatcherOptions) { o.Must = func() bool { return false } }, func(store *published.Store[string]) {
+	runWatcher(t, src, func(o *publisher.WatcherOptions) { o.Must = func() bool { return false } }, func(store *published.Store[string]) {
 		time.Sleep(time.Minute)
 		reads, watches := src.counts()
 		assert.Equal(t, reads, 1)
