--- a/internal/peerhttp/doc.go
+++ b/internal/peerhttp/doc.go
@@ -1,12 +1,12 @@
 // Copyright 2026 The Wingvale Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package peerhttp carries the calls of hosts to each other, over connections
-// that may fall silent for good without a reset.
+// Package peerhttp is the HTTP transport for calls between hosts. Connections may become
+// silent for good without a reset.
 //
-// A call over a kept connection that is not answered soon is made once more over
-// a new one. Where the new one answers first, the kept ones are thrown away
-// together. A call whose answer may take long is Patient: KeepAlive has the
-// other host send signs of life on the call's own connection, and a call without
-// them is made once more. All calls must be fit to be made more than once.
+// If a call on a kept connection is not answered soon, the transport hedges: it makes the call
+// once more on a new connection. If the new connection answers first, the kept ones are discarded
+// together. Calls whose responses may take long are marked by Patient. For these, KeepAlive makes
+// the other host send interim responses on the connection of the call, and a call without them is
+// retried. All calls must be safe to make more than once.
 package peerhttp
--- a/internal/peerhttp/peerhttp_test.go
+++ b/internal/peerhttp/peerhttp_test.go
@@ -25,19 +25,19 @@
 )
 
 var (
-	near = netip.MustParseAddr("10.0.0.1")
-	far  = netip.MustParseAddrPort("10.0.0.2:80")
+	clientAddr = netip.MustParseAddr("10.0.0.1")
+	serverAddr = netip.MustParseAddrPort("10.0.0.2:80")
 )
 
-// site is one host that calls another.
+// site is a client host that calls a server host.
 type site struct {
 	network *memnet.Network
 	client  *http.Client
-	// opened counts connections, calls the calls that were taken.
+	// opened counts connections, and calls the calls that the server received.
 	opened atomic.Int32
 	calls  atomic.Int32
-	// takes is how long an answer takes.
-	takes atomic.Int64
+	// delay is the time until the server answers, in nanoseconds.
+	delay atomic.Int64
 }
 
 func (s *site) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -48,88 +48,89 @@
 	}
 	select {
 	case <-r.Context().Done():
-	case <-time.After(time.Duration(s.takes.Load())):
+	case <-time.After(time.Duration(s.delay.Load())):
 		w.Header().Set("Told", "yes")
 		_, _ = w.Write(body)
 	}
 }
 
-func (s *site) silence() {
+func (s *site) silenceConnections() {
 	s.network.Silence(func(_, _ netip.Addr) bool { return true })
 }
 
 // call makes a call and returns how long it took.
 func (s *site) call(ctx context.Context) (time.Duration, error) {
-	began := time.Now()
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+far.String()+"/", strings.NewReader("hello"))
+	startedAt := time.Now()
+	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+serverAddr.String()+"/", strings.NewReader("hello"))
 	if err != nil {
 		return 0, err
 	}
 	response, err := s.client.Do(r)
 	if err != nil {
-		return time.Since(began), err
+		return time.Since(startedAt), err
 	}
 	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(response.Body)
 	if err == nil && (string(body) != "hello" || response.Header.Get("Told") != "yes") {
-		err = errors.New("another answer")
+		err = errors.New("unexpected response")
 	}
-	return time.Since(began), err
+	return time.Since(startedAt), err
 }
 
-// quick makes a call that has so long.
-func (s *site) quick(within time.Duration) (time.Duration, error) {
+// callWithin makes a call with a timeout.
+func (s *site) callWithin(within time.Duration) (time.Duration, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
 	return s.call(ctx)
 }
 
-// keep opens some connections that rest then.
-func (s *site) keep(t *testing.T, count int) {
+// openConnections makes concurrent calls, so that their connections are kept idle.
+func (s *site) openConnections(t *testing.T, count int) {
 	t.Helper()
-	s.takes.Store(int64(5 * time.Millisecond))
+	s.delay.Store(int64(5 * time.Millisecond))
 	var all sync.WaitGroup
 	for range count {
 		all.Go(func() {
-			_, err := s.quick(time.Second)
+			_, err := s.callWithin(time.Second)
 			assert.Check(t, err)
 		})
 	}
 	all.Wait()
-	s.takes.Store(0)
+	s.delay.Store(0)
 }
 
 func withSite(t *testing.T, do func(t *testing.T, s *site)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		s := &site{network: memnet.New(func(_, _ netip.Addr) time.Duration { return time.Millisecond })}
-		l, err := s.network.Listen(far)
+		l, err := s.network.Listen(serverAddr)
 		assert.NilError(t, err)
 		server := &http.Server{Handler: peerhttp.KeepAlive(s)}
 		go func() { _ = server.Serve(l) }()
-		dial := s.network.Dialer(near)
+		dial := s.network.Dialer(clientAddr)
 		s.client = &http.Client{Transport: peerhttp.New(func(ctx context.Context, network, address string) (net.Conn, error) {
 			s.opened.Add(1)
 			return dial(ctx, network, address)
 		}, tally.NoopScope)}
 		do(t, s)
 		s.client.CloseIdleConnections()
-		s.network.Freeze(far.Addr(), false)
+		s.network.Freeze(serverAddr.Addr(), false)
 		_ = server.Close()
 	})
 }
 
-// Ten kept connections fell silent. Each was used until its call timed out.
-func TestSilentConnectionsAreThrownAwayTogether(t *testing.T) {
+// Guards against kept connections that have become silent: ten of them were used until a call timed
+// out on each.
+func TestSilentConnectionsAreDiscardedTogether(t *testing.T) {
 	withSite(t, func(t *testing.T, s *site) {
-		s.keep(t, 10)
-		s.silence()
-		took, err := s.quick(80 * time.Millisecond)
+		s.openConnections(t, 10)
+		s.silenceConnections()
+		took, err := s.callWithin(80 * time.Millisecond)
 		assert.NilError(t, err)
 		assert.Assert(t, took < 60*time.Millisecond, "took %v", took)
 		opened := s.opened.Load()
 		for range 10 {
-			took, err := s.quick(80 * time.Millisecond)
+			took, err := s.callWithin(80 * time.Millisecond)
 			assert.NilError(t, err)
 			assert.Assert(t, took < 10*time.Millisecond, "took %v", took)
 		}
@@ -137,14 +138,14 @@
 	})
 }
 
-func TestCallsAtOnceAreAllAnswered(t *testing.T) {
+func TestConcurrentCallsAreAllAnswered(t *testing.T) {
 	withSite(t, func(t *testing.T, s *site) {
-		s.keep(t, 10)
-		s.silence()
+		s.openConnections(t, 10)
+		s.silenceConnections()
 		var all sync.WaitGroup
 		for range 30 {
 			all.Go(func() {
-				_, err := s.quick(80 * time.Millisecond)
+				_, err := s.callWithin(80 * time.Millisecond)
 				assert.Check(t, err)
 			})
 		}
@@ -152,40 +153,40 @@
 	})
 }
 
-func TestAPatientCallIsMadeAnew(t *testing.T) {
+func TestPatientCallIsRetried(t *testing.T) {
 	withSite(t, func(t *testing.T, s *site) {
-		s.takes.Store(int64(300 * time.Millisecond))
-		began := time.Now()
-		time.AfterFunc(100*time.Millisecond, s.silence)
+		s.delay.Store(int64(300 * time.Millisecond))
+		startedAt := time.Now()
+		time.AfterFunc(100*time.Millisecond, s.silenceConnections)
 		ctx, cancel := context.WithTimeout(peerhttp.Patient(t.Context()), 5*time.Second)
 		defer cancel()
 		_, err := s.call(ctx)
 		assert.NilError(t, err)
-		assert.Assert(t, time.Since(began) < time.Second, "took %v", time.Since(began))
+		assert.Assert(t, time.Since(startedAt) < time.Second, "took %v", time.Since(startedAt))
 	})
 }
 
-func TestAPatientCallThatIsAliveIsMadeOnce(t *testing.T) {
+func TestPatientCallWithSignsOfLifeIsMadeOnce(t *testing.T) {
 	withSite(t, func(t *testing.T, s *site) {
-		s.takes.Store(int64(5 * time.Second))
+		s.delay.Store(int64(5 * time.Second))
 		_, err := s.call(peerhttp.Patient(t.Context()))
 		assert.NilError(t, err)
 		assert.Equal(t, s.calls.Load(), int32(1))
 	})
 }
 
-// A host that stands still is not met with a new connection for each call.
-func TestAHostThatStandsStillIsTriedOnce(t *testing.T) {
+// A paused host must not get a new connection for each call.
+func TestPausedHostIsHedgedOnce(t *testing.T) {
 	withSite(t, func(t *testing.T, s *site) {
-		s.keep(t, 1)
+		s.openConnections(t, 1)
 		opened := s.opened.Load()
-		s.network.Freeze(far.Addr(), true)
+		s.network.Freeze(serverAddr.Addr(), true)
 		for range 5 {
-			took, err := s.quick(80 * time.Millisecond)
+			took, err := s.callWithin(80 * time.Millisecond)
 			assert.ErrorIs(t, err, context.DeadlineExceeded)
 			assert.Equal(t, took, 80*time.Millisecond)
 		}
-		// Each call that timed out closed its connection, so that the next opens one.
+		// Each call that timed out closed its connection, so that the next one opens another.
 		assert.Assert(t, s.opened.Load()-opened <= 6, "%d connections for 5 calls", s.opened.Load()-opened)
 	})
 }
--- a/internal/peerhttp/transport.go
+++ b/internal/peerhttp/transport.go
@@ -14,182 +14,182 @@
 )
 
 const (
-	connectFor = 400 * time.Millisecond
-	idleFor    = 30 * time.Second
-	idleMost   = 64
-	// answerShare of the time that a call has, and answerMost at most, is how
-	// long a kept connection may take before a new one is tried. Hosts answer in
-	// a few milliseconds.
-	answerShare = 3
-	answerMost  = 150 * time.Millisecond
-	// trialLength is up to how long a call may be to be tried twice: longer ones
-	// take their time on a small link.
-	trialLength = 32 << 10
-	// trialPause keeps a host that is merely slow from being tried with a new
-	// connection again and again.
-	trialPause = time.Second
-	// silentAfter is how long a patient call may be without a sign of life:
-	// three signs.
-	silentAfter = 3 * signEvery
-	// patientTries bounds how often one patient call is made.
-	patientTries = 3
+	connectTimeout = 400 * time.Millisecond
+	idleTimeout    = 30 * time.Second
+	maxIdleConns   = 64
+	// hedgeDivisor and maxHedgeDelay bound how long a kept connection may take before a new one
+	// is tried: the time left for the call divided by hedgeDivisor, at most maxHedgeDelay. Hosts
+	// answer within a few milliseconds.
+	hedgeDivisor  = 3
+	maxHedgeDelay = 150 * time.Millisecond
+	// maxHedgedBytes is the size of the largest call that is hedged: larger ones take long on a
+	// slow link.
+	maxHedgedBytes = 32 << 10
+	// hedgePause is the minimum time between hedges to one host, so that a host that is merely
+	// slow does not get a new connection for every call.
+	hedgePause = time.Second
+	// silenceTimeout is how long a patient call may be without a sign of life: three
+	// intervals.
+	silenceTimeout = 3 * signInterval
+	// maxPatientAttempts bounds how often one patient call is made.
+	maxPatientAttempts = 3
 )
 
-// Dial connects to an address given as IP number and port.
+// Dial connects to an address given as IP address and port.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Transport is a round tripper. It is safe for concurrent use.
+// Transport is an http.RoundTripper. It is safe for concurrent use.
 type Transport struct {
 	dial  Dial
 	scope tally.Scope
 
-	mu   sync.Mutex
-	ways map[string]*way
+	mu    sync.Mutex
+	pools map[string]*connPool
 }
 
-// way is the kept connections to one host.
-type way struct {
+// connPool has the kept connections to one host.
+type connPool struct {
 	http *http.Transport
-	// replaced is closed when another way takes its place.
+	// replaced is closed when another pool takes the place of this one.
 	replaced chan struct{}
-	// trying says that a new connection is tried; none is before restUntil.
-	trying    bool
-	restUntil time.Time
+	// hedging reports that a new connection is being tried. None is tried before nextHedgeAt.
+	hedging     bool
+	nextHedgeAt time.Time
 }
 
-// New returns a transport without connections. Counters in scope tell how often
-// new connections were tried, and took the place of others.
+// New returns a transport without connections. Counters in scope count how often new connections
+// were tried and how often they replaced others.
 func New(dial Dial, scope tally.Scope) *Transport {
-	return &Transport{dial: dial, scope: scope, ways: make(map[string]*way)}
+	return &Transport{dial: dial, scope: scope, pools: make(map[string]*connPool)}
 }
 
-func (t *Transport) newWay() *way {
-	return &way{replaced: make(chan struct{}), http: &http.Transport{
+func (t *Transport) newPool() *connPool {
+	return &connPool{replaced: make(chan struct{}), http: &http.Transport{
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
-			ctx, cancel := context.WithTimeout(ctx, connectFor)
+			ctx, cancel := context.WithTimeout(ctx, connectTimeout)
 			defer cancel()
 			return t.dial(ctx, network, address)
 		},
-		MaxIdleConnsPerHost: idleMost,
-		IdleConnTimeout:     idleFor,
+		MaxIdleConnsPerHost: maxIdleConns,
+		IdleConnTimeout:     idleTimeout,
 		DisableCompression:  true,
 	}}
 }
 
-func (t *Transport) to(host string) *way {
+func (t *Transport) pool(host string) *connPool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	w := t.ways[host]
-	if w == nil {
-		w = t.newWay()
-		t.ways[host] = w
+	p := t.pools[host]
+	if p == nil {
+		p = t.newPool()
+		t.pools[host] = p
 	}
-	return w
+	return p
 }
 
-// replace puts a way in the place of one whose connections are silent.
-func (t *Transport) replace(host string, silent, fresh *way) {
+// replace replaces a pool whose connections are silent by a fresh one.
+func (t *Transport) replace(host string, silent, fresh *connPool) {
 	t.mu.Lock()
-	if t.ways[host] != silent {
+	if t.pools[host] != silent {
 		t.mu.Unlock()
 		fresh.http.CloseIdleConnections()
 		return
 	}
 	t.scope.Counter("connections_replaced").Inc(1)
-	t.ways[host] = fresh
+	t.pools[host] = fresh
 	close(silent.replaced)
 	t.mu.Unlock()
 	silent.http.CloseIdleConnections()
 }
 
-// beginTrial reports whether a new connection may be tried beside a way.
-func (t *Transport) beginTrial(w *way) bool {
+// startHedge reports whether a call may be hedged on a new connection now.
+func (t *Transport) startHedge(p *connPool) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if w.trying || time.Now().Before(w.restUntil) {
+	if p.hedging || time.Now().Before(p.nextHedgeAt) {
 		return false
 	}
-	w.trying = true
+	p.hedging = true
 	return true
 }
 
-func (t *Transport) endTrial(w *way) {
+func (t *Transport) endHedge(p *connPool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	w.trying = false
-	w.restUntil = time.Now().Add(trialPause)
+	p.hedging = false
+	p.nextHedgeAt = time.Now().Add(hedgePause)
 }
 
 // CloseIdleConnections closes the connections that carry no call.
 func (t *Transport) CloseIdleConnections() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, w := range t.ways {
-		w.http.CloseIdleConnections()
+	for _, p := range t.pools {
+		p.http.CloseIdleConnections()
 	}
 }
 
 // RoundTrip makes a call.
 func (t *Transport) RoundTrip(r *http.Request) (*http.Response, error) {
-	w := t.to(r.URL.Host)
+	p := t.pool(r.URL.Host)
 	if r.Body != nil && r.Body != http.NoBody && r.GetBody == nil {
-		return w.http.RoundTrip(r)
+		return p.http.RoundTrip(r)
 	}
 	if isPatient(r.Context()) {
-		return t.patient(r, w)
+		return t.patientRoundTrip(r, p)
 	}
-	return t.quick(r, w)
+	return t.quickRoundTrip(r, p)
 }
 
-// quick makes a call that is answered soon.
-func (t *Transport) quick(r *http.Request, w *way) (*http.Response, error) {
-	first := begin(r, w)
+// quickRoundTrip makes a call that should be answered soon.
+func (t *Transport) quickRoundTrip(r *http.Request, p *connPool) (*http.Response, error) {
+	first := startAttempt(r, p)
 	deadline, ok := r.Context().Deadline()
-	if !ok || r.ContentLength > trialLength {
+	if !ok || r.ContentLength > maxHedgedBytes {
 		return first.wait()
 	}
-	timer := time.NewTimer(min(time.Until(deadline)/answerShare, answerMost))
+	timer := time.NewTimer(min(time.Until(deadline)/hedgeDivisor, maxHedgeDelay))
 	defer timer.Stop()
-	replaced := w.replaced
+	replaced := p.replaced
 	for {
 		select {
 		case <-first.done:
 			return first.wait()
 		case <-replaced:
-			return race(first, begin(r, t.to(r.URL.Host)))
+			return race(first, startAttempt(r, t.pool(r.URL.Host)))
 		case <-timer.C:
-			if first.reused.Load() && t.beginTrial(w) {
-				return t.trial(r, w, first)
+			if first.reused.Load() && t.startHedge(p) {
+				return t.hedge(r, p, first)
 			}
 		}
 	}
 }
 
-// trial makes a call over a new connection too.
-func (t *Transport) trial(r *http.Request, w *way, first *try) (*http.Response, error) {
-	defer t.endTrial(w)
+// hedge repeats a call on a new connection.
+func (t *Transport) hedge(r *http.Request, p *connPool, first *attempt) (*http.Response, error) {
+	defer t.endHedge(p)
 	t.scope.Counter("connections_tried").Inc(1)
-	fresh := t.newWay()
-	second := begin(r, fresh)
+	fresh := t.newPool()
+	second := startAttempt(r, fresh)
 	response, err := race(first, second)
 	if second.won {
-		t.replace(r.URL.Host, w, fresh)
+		t.replace(r.URL.Host, p, fresh)
 	} else {
 		fresh.http.CloseIdleConnections()
 	}
 	return response, err
 }
 
-// patient makes a call that may take long, anew where its connection is silent.
-func (t *Transport) patient(r *http.Request, w *way) (*http.Response, error) {
-	for tries := 1; ; tries++ {
-		a := begin(r, w)
-		if tries == patientTries || a.lives() {
+// patientRoundTrip makes a call that may take long, and retries it if its connection is silent.
+func (t *Transport) patientRoundTrip(r *http.Request, p *connPool) (*http.Response, error) {
+	for attempts := 1; ; attempts++ {
+		a := startAttempt(r, p)
+		if attempts == maxPatientAttempts || a.waitWhileAlive() {
 			return a.wait()
 		}
-		go a.drop()
-		fresh := t.newWay()
-		t.replace(r.URL.Host, w, fresh)
-		w = t.to(r.URL.Host)
+		go a.discard()
+		fresh := t.newPool()
+		t.replace(r.URL.Host, p, fresh)
+		p = t.pool(r.URL.Host)
 	}
 }
