--- a/internal/peer/direct.go
+++ b/internal/peer/direct.go
@@ -43,34 +43,34 @@
 }
 
 // add queues changes and reports whether the caller must start to send.
-func (t *changeQueue) add(c Changes) bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.queued == nil {
-		t.queued = make(map[string]published.Entry)
+func (q *changeQueue) add(c Changes) bool {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if q.queued == nil {
+		q.queued = make(map[string]published.Entry)
 	}
-	if len(t.queued) == 0 {
-		t.after = c.After
+	if len(q.queued) == 0 {
+		q.after = c.After
 	}
-	t.through = max(t.through, c.Through)
+	q.through = max(q.through, c.Through)
 	for _, e := range c.Entries {
-		if old, ok := t.queued[e.Key]; !ok || e.Version().Compare(old.Version()) > 0 {
-			t.queued[e.Key] = e
+		if old, ok := q.queued[e.Key]; !ok || e.Version().Compare(old.Version()) > 0 {
+			q.queued[e.Key] = e
 		}
 	}
-	first := !t.sending
-	t.sending = true
+	first := !q.sending
+	q.sending = true
 	return first
 }
 
 // drain removes and returns the queued changes. Sending ends when there are none.
-func (t *changeQueue) drain() Changes {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	entries := slices.SortedFunc(maps.Values(t.queued), func(a, b published.Entry) int { return a.Version().Compare(b.Version()) })
-	clear(t.queued)
-	t.sending = len(entries) > 0
-	return Changes{After: t.after, Through: t.through, Entries: entries}
+func (q *changeQueue) drain() Changes {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	entries := slices.SortedFunc(maps.Values(q.queued), func(a, b published.Entry) int { return a.Version().Compare(b.Version()) })
+	clear(q.queued)
+	q.sending = len(entries) > 0
+	return Changes{After: q.after, Through: q.through, Entries: entries}
 }
 
 // TellDirect pushes the small entries among changes that this host read from the publisher to its
@@ -80,13 +80,13 @@
 // host, for hosts whose watchers cannot read. A host that was missed detects the difference by
 // heartbeat.
 func (g *Gossip) TellDirect(space peerpb.Space, c Changes, watchers []fleet.Member) {
-	t := g.changeQueues[space]
+	q := g.changeQueues[space]
 	c.Entries = slices.DeleteFunc(slices.Clone(c.Entries), func(e published.Entry) bool { return e.Version().Large() })
-	if t == nil || len(c.Entries) == 0 || !t.add(c) {
+	if q == nil || len(c.Entries) == 0 || !q.add(c) {
 		return
 	}
 	go func() {
-		for batch := t.drain(); len(batch.Entries) > 0; batch = t.drain() {
+		for batch := q.drain(); len(batch.Entries) > 0; batch = q.drain() {
 			g.pushBatch(space, batch, g.directTargets(watchers))
 		}
 	}()
--- a/internal/peer/lag.go
+++ b/internal/peer/lag.go
@@ -44,28 +44,28 @@
 	return &lagTracker{spaces: make(map[peerpb.Space]*spaceLag)}
 }
 
-func (b *lagTracker) lag(space peerpb.Space) *spaceLag {
-	d := b.spaces[space]
+func (l *lagTracker) lag(space peerpb.Space) *spaceLag {
+	d := l.spaces[space]
 	if d == nil {
 		d = &spaceLag{}
-		b.spaces[space] = d
+		l.spaces[space] = d
 	}
 	return d
 }
 
 // markSame records that a peer holds the same entries.
-func (b *lagTracker) markSame(space peerpb.Space) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.lag(space).differsSince = time.Time{}
+func (l *lagTracker) markSame(space peerpb.Space) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.lag(space).differsSince = time.Time{}
 }
 
 // differsTooLong records that a peer holds other entries and reports whether that has lasted for
 // differsTimeout. It then starts over.
-func (b *lagTracker) differsTooLong(now time.Time, space peerpb.Space) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	d := b.lag(space)
+func (l *lagTracker) differsTooLong(now time.Time, space peerpb.Space) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	d := l.lag(space)
 	if d.differsSince.IsZero() {
 		d.differsSince = now
 	}
@@ -78,10 +78,10 @@
 
 // startCheck records that a peer has every key up to revision other, and this host only up to
 // own. It reports whether the caller must check again after lagCheckDelay.
-func (b *lagTracker) startCheck(space peerpb.Space, own, other uint64) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	d := b.lag(space)
+func (l *lagTracker) startCheck(space peerpb.Space, own, other uint64) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	d := l.lag(space)
 	if d.checkRevision > 0 || other <= own {
 		return false
 	}
@@ -90,13 +90,13 @@
 }
 
 // finishCheck ends a check and reports whether this host still lacks what the peer had.
-func (b *lagTracker) finishCheck(space peerpb.Space, own uint64) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	d := b.lag(space)
-	wanted := d.checkRevision
+func (l *lagTracker) finishCheck(space peerpb.Space, own uint64) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	d := l.lag(space)
+	checkRevision := d.checkRevision
 	d.checkRevision = 0
-	return own < wanted
+	return own < checkRevision
 }
 
 // checkLag synchronises with a peer that is ahead in spaces whose changes are pushed directly,
