--- a/internal/publisher/client.go
+++ b/internal/publisher/client.go
@@ -90,13 +90,13 @@
 	return v, err
 }
 
-func (c *Client) getFrom(ctx context.Context, address netip.AddrPort, path string, patience Patience) (Values, error) {
+func (c *Client) getFrom(ctx context.Context, address netip.AddrPort, path string, readTimeouts Patience) (Values, error) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address.String()+path, http.NoBody)
 	if err != nil {
 		return Values{}, fmt.Errorf("publisher: %w", err)
 	}
 	var values Values
-	err = patience.Do(c.http, r, func(response *http.Response) error {
+	err = readTimeouts.Do(c.http, r, func(response *http.Response) error {
 		switch response.StatusCode {
 		case http.StatusOK:
 			values, err = wire.ReadLoose[Values](response.Body, maxListingBytes)
--- a/internal/publisher/timeouts_test.go
+++ b/internal/publisher/timeouts_test.go
@@ -17,7 +17,7 @@
 	"github.com/wingvale/wingvale/internal/publisher"
 )
 
-var patience = publisher.Patience{First: 500 * time.Millisecond, Stall: time.Second, Whole: 30 * time.Second}
+var readTimeouts = publisher.Patience{First: 500 * time.Millisecond, Stall: time.Second, Whole: 30 * time.Second}
 
 // slowly returns a handler that answers in parts, each after a pause.
 func slowly(pauses ...time.Duration) http.HandlerFunc {
@@ -64,7 +64,7 @@
 				r, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+address.String(), http.NoBody)
 				assert.NilError(t, err)
 				got := 0
-				err = patience.Do(client, r, func(response *http.Response) error {
+				err = readTimeouts.Do(client, r, func(response *http.Response) error {
 					data, err := io.ReadAll(response.Body)
 					got = len(data)
 					return err
