--- a/internal/fleet/view.go
+++ b/internal/fleet/view.go
@@ -55,8 +55,8 @@
 	leavingByAddress map[netip.AddrPort]int
 	// lastChangeAt is when a member last joined, left or changed its state.
 	lastChangeAt time.Time
-	// version increases when a member joins, leaves, restarts, or changes its state or
-	// addresses; beats and loads do not change it.
+	// version increases when a member joins, leaves or restarts, or when anything in its record
+	// changes except the beat and the load.
 	version uint64
 	// cachedSums has the sums of the view; nil if it changed since they were computed.
 	cachedSums *Sums
@@ -263,8 +263,9 @@
 	return members
 }
 
-// Version increases whenever a member joins, leaves, restarts or changes its state or addresses,
-// and at no other change. Results derived from these alone can be cached while it is unchanged.
+// Version returns a number that increases when a member joins, leaves or restarts, or when anything
+// in its record changes except the beat and the load. Results derived from the members without
+// their beats and loads can be cached while it is unchanged.
 func (v *View) Version() uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
