--- a/internal/peer/convergence_test.go
+++ b/internal/peer/convergence_test.go
@@ -31,8 +31,8 @@
 	startsWithin = 500 * time.Millisecond
 	// seedCount is how many hosts a starting host gets as seeds.
 	seedCount = 3
-	// meetEvery is the interval at which a starting host contacts its seeds.
-	meetEvery = 100 * time.Millisecond
+	// seedRetryInterval is the interval at which a starting host contacts its seeds.
+	seedRetryInterval = 100 * time.Millisecond
 	// maxIdleBytes is how much a host may send a second while nothing changes.
 	maxIdleBytes = 3 << 10
 )
@@ -46,10 +46,10 @@
 
 // bootFleet is a fleet of hosts that know only their seeds when they start.
 type bootFleet struct {
-	direct *directTransport
-	all    []*testNode
-	ends   []context.CancelFunc
-	parts  sync.WaitGroup
+	direct  *directTransport
+	all     []*testNode
+	cancels []context.CancelFunc
+	running sync.WaitGroup
 }
 
 // runBootFleet runs do with count hosts in a synctest bubble. Each host starts at a random time
@@ -57,7 +57,7 @@
 func runBootFleet(t *testing.T, count int, do func(t *testing.T, c *bootFleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		c := &bootFleet{direct: newDirectTransport(), all: make([]*testNode, count), ends: make([]context.CancelFunc, count)}
+		c := &bootFleet{direct: newDirectTransport(), all: make([]*testNode, count), cancels: make([]context.CancelFunc, count)}
 		random := rand.New(rand.NewPCG(1, uint64(count)))
 		for i := range c.all {
 			c.start(t, i, time.Duration(random.Int64N(int64(startsWithin))))
@@ -66,7 +66,7 @@
 			for i := range c.all {
 				c.kill(i)
 			}
-			c.parts.Wait()
+			c.running.Wait()
 		}()
 		time.Sleep(startsWithin)
 		do(t, c)
@@ -79,27 +79,27 @@
 	n := newTestNode(nil, i, func(o *peer.Options) { o.HTTP = &http.Client{Transport: c.direct} })
 	c.all[i] = n
 	ctx, cancel := context.WithCancel(t.Context())
-	c.ends[i] = cancel
-	c.parts.Go(func() {
+	c.cancels[i] = cancel
+	c.running.Go(func() {
 		time.Sleep(after)
 		_, handler := n.gossip.Handler()
 		c.direct.serve(n.address.String(), handler)
-		c.meet(ctx, i)
+		c.contactSeeds(ctx, i)
 		n.gossip.Run(ctx)
 	})
 }
 
-// meet contacts the seeds of host number i until one answers.
-func (c *bootFleet) meet(ctx context.Context, i int) {
+// contactSeeds contacts the seeds of host number i until one answers.
+func (c *bootFleet) contactSeeds(ctx context.Context, i int) {
 	for ctx.Err() == nil {
-		met := false
+		contacted := false
 		for seed := range min(seedCount, len(c.all)) {
-			met = seed != i && c.all[i].gossip.Meet(ctx, seedAddress(seed)) || met
+			contacted = seed != i && c.all[i].gossip.Meet(ctx, seedAddress(seed)) || contacted
 		}
-		if met {
+		if contacted {
 			return
 		}
-		time.Sleep(meetEvery)
+		time.Sleep(seedRetryInterval)
 	}
 }
 
@@ -108,14 +108,14 @@
 }
 
 func (c *bootFleet) kill(i int) {
-	c.ends[i]()
+	c.cancels[i]()
 	c.direct.serve(c.all[i].address.String(), nil)
 	<-c.all[i].gossip.Done()
 }
 
-// known returns the share of the live hosts that a host considers live: the mean and the minimum
-// over all hosts.
-func (c *bootFleet) known() (mean, least float64) {
+// knownShares returns the share of the live hosts that a host considers live: the mean and the
+// minimum over all hosts.
+func (c *bootFleet) knownShares() (mean, least float64) {
 	least = 1
 	for _, n := range c.all {
 		live := 1
@@ -143,7 +143,7 @@
 		t.Run(fmt.Sprint(count), func(t *testing.T) {
 			runBootFleet(t, count, func(t *testing.T, c *bootFleet) {
 				time.Sleep(knownWithin)
-				mean, least := c.known()
+				mean, least := c.knownShares()
 				t.Logf("known after %v: %.3f, at least %.3f", knownWithin, mean, least)
 				assert.Assert(t, least >= minKnownShare, "a host knows %.3f of the fleet, on average %.3f", least, mean)
 				// At rest the traffic must be small.
@@ -173,7 +173,7 @@
 			c.start(t, i, 0)
 		}
 		time.Sleep(knownWithin)
-		mean, least := c.known()
+		mean, least := c.knownShares()
 		assert.Assert(t, least >= minKnownShare, "a host knows %.3f of the fleet, on average %.3f", least, mean)
 	})
 }
@@ -194,12 +194,12 @@
 			}
 		}
 		time.Sleep(30 * time.Second)
-		_, least := c.known()
+		_, least := c.knownShares()
 		assert.Assert(t, least < minKnownShare, "the cut was not noticed")
 		network.HealAll()
 		// A host contacts a member that it considers gone at every fourth heartbeat.
 		time.Sleep(4*peer.DefaultInterval + knownWithin)
-		mean, least := c.known()
+		mean, least := c.knownShares()
 		assert.Assert(t, least >= minKnownShare, "a host knows %.3f of the fleet, on average %.3f", least, mean)
 	})
 }
--- a/internal/peer/spread_test.go
+++ b/internal/peer/spread_test.go
@@ -82,8 +82,8 @@
 	members  []fleet.Member
 	entries  []published.Entry
 	// read is the number of changes that each watcher has read.
-	read []int
-	turn int
+	read  []int
+	round int
 }
 
 func newStream(watchers []*testNode) *stream {
@@ -100,9 +100,9 @@
 		revision := uint64(len(s.entries) + 1)
 		s.entries = append(s.entries, published.Entry{Key: fmt.Sprint("servers/", revision), Revision: revision, Data: noise(60, revision)})
 	}
-	s.turn++
+	s.round++
 	for i, n := range s.watchers {
-		if (i+s.turn)%2 == 0 {
+		if (i+s.round)%2 == 0 {
 			continue
 		}
 		news := s.entries[s.read[i]:]
@@ -122,7 +122,7 @@
 		hosts    = 40
 		watchers = 10
 		changes  = 200
-		every    = 20 * time.Millisecond
+		interval = 20 * time.Millisecond
 		// maxCalls is the number of calls that a host may make a second: in each peer.SpreadEvery
 		// one push and one advertisement to peer.Fanout hosts each, and heartbeats with the calls
 		// that follow from them.
@@ -137,9 +137,9 @@
 			e := published.Entry{Key: fmt.Sprint("servers/", i), Revision: uint64(i + 1), Data: []byte("x")}
 			from := all[i%watchers]
 			from.gossip.Spread(space, from.store.Offer(e))
-			time.Sleep(every)
+			time.Sleep(interval)
 		}
-		rate := float64(made.countCalls("")-before) / hosts / (changes * every).Seconds()
+		rate := float64(made.countCalls("")-before) / hosts / (changes * interval).Seconds()
 		t.Logf("%.1f calls a second from each host", rate)
 		assert.Assert(t, rate <= maxCalls, "%.1f calls a second from each host", rate)
 		// The last change must be in force everywhere within the required time.
@@ -218,7 +218,7 @@
 	const (
 		hosts    = 40
 		watchers = 6
-		lasts    = 8 * time.Second
+		duration = 8 * time.Second
 		pause    = 200 * time.Millisecond
 		// maxCompares is how many comparisons a host may make a second in a storm in which it
 		// misses nothing.
@@ -232,16 +232,16 @@
 	runNodesWith(t, hosts, directPush, func(t *testing.T, _ *memnet.Network, all []*testNode) {
 		time.Sleep(5 * time.Second)
 		s := newStream(all[:watchers])
-		storm := func(lasts time.Duration) {
-			for range lasts / pause {
+		storm := func(duration time.Duration) {
+			for range duration / pause {
 				s.change(30)
 				time.Sleep(pause)
 			}
 		}
 		storm(3 * time.Second)
 		before := made.countCalls("Compare")
-		storm(lasts)
-		rate := float64(made.countCalls("Compare")-before) / hosts / lasts.Seconds()
+		storm(duration)
+		rate := float64(made.countCalls("Compare")-before) / hosts / duration.Seconds()
 		t.Logf("%.3f comparisons a second by each host", rate)
 		assert.Assert(t, rate <= maxCompares, "%.2f comparisons a second by each host", rate)
 		// A host that missed a change detects that and soon has it.
