--- a/internal/command/check.go
+++ b/internal/command/check.go
@@ -20,7 +20,7 @@
 	Paths []string `arg:"" type:"path" help:"INI files with settings, JSON files or folders with published values (templates/NAME.json, workspaces/NAME.json, models/NAME.json)."`
 }
 
-// Run checks every path and reports all that is wrong.
+// Run checks every path and reports all errors together.
 func (c checkCommand) Run(o *output) error {
 	var errs []error
 	for _, p := range c.Paths {
@@ -59,8 +59,7 @@
 	}
 }
 
-// checkFolder checks all values below a folder, and what they say of each
-// other.
+// checkFolder validates all values below a folder and the references between them.
 func checkFolder(p string) (string, error) {
 	values, err := sites.Read(os.DirFS(p), ".")
 	if err != nil {
@@ -76,13 +75,14 @@
 		}
 		decoded[strings.TrimPrefix(key, "./")] = v
 	}
-	errs = append(errs, references(decoded)...)
+	errs = append(errs, checkReferences(decoded)...)
 	slices.SortFunc(errs, func(a, b error) int { return strings.Compare(a.Error(), b.Error()) })
 	return fmt.Sprintf("%d valid values", len(decoded)), errors.Join(errs...)
 }
 
-// references reports the workspaces that name what is not there.
-func references(values map[string]pipeline.Value) []error {
+// checkReferences returns an error for each workspace that refers to a template or a model
+// that does not exist.
+func checkReferences(values map[string]pipeline.Value) []error {
 	var errs []error
 	for key, v := range values {
 		if v.Workspace == nil {
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -15,17 +15,17 @@
 	"github.com/wingvale/wingvale/internal/command"
 )
 
-func write(t *testing.T, name, text string) string {
+func writeFile(t *testing.T, name, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
 	assert.NilError(t, os.WriteFile(path, []byte(text), 0o600))
 	return path
 }
 
-func TestExitCodesAndMessages(t *testing.T) {
-	bad := write(t, "node.ini", "[node]\ncaller = here\n")
-	good := write(t, "node.ini", "[node]\ncaller = 10.0.0.1:1\npeer = 10.0.0.1:2\nzone = a\n[platform]\naddresses = 10.0.0.2:1\n")
-	logs := write(t, "host.log", `{"msg":"request ended","node":"10.0.0.1:1","outcome":"late","request":"r-1","time":"10:00:00.000"}`)
+func TestMainExitCodesAndMessages(t *testing.T) {
+	bad := writeFile(t, "node.ini", "[node]\ncaller = here\n")
+	good := writeFile(t, "node.ini", "[node]\ncaller = 10.0.0.1:1\npeer = 10.0.0.1:2\nzone = a\n[platform]\naddresses = 10.0.0.2:1\n")
+	logs := writeFile(t, "host.log", `{"msg":"request ended","node":"10.0.0.1:1","outcome":"late","request":"r-1","time":"10:00:00.000"}`)
 	cases := []struct {
 		name string
 		args []string
@@ -40,14 +40,14 @@
 		{"bad settings", []string{"check", bad}, command.ExitUsage, "[node] peer is missing"},
 		{"both sites' values", []string{"check", "../sites/arhiva-climei", "../sites/farbwerk"}, command.ExitDone, "13 valid values"},
 		{"no such file", []string{"check", bad + "x"}, command.ExitUsage, "no such file"},
-		{"a host name", []string{"request", "--to", "host:1", "--workspace", "w", "--pipeline", "p", "x"}, command.ExitUsage, "IP number"},
+		{"a host name", []string{"request", "--to", "host:1", "--workspace", "w", "--pipeline", "p", "x"}, command.ExitUsage, "IP address"},
 		{"a bad workspace name", []string{"request", "--to", "10.0.0.1:1", "--workspace", "W!", "--pipeline", "p", "x"}, command.ExitUsage, "lower-case"},
 		{"a request over logs", []string{"explain", "--outcome", "late", logs}, command.ExitDone, "it would not be reached in time"},
 		{"a request in no log", []string{"explain", "r-9", logs}, command.ExitFailed, "no line names the request"},
 		{"no request of an outcome", []string{"explain", "--outcome", "cut", logs}, command.ExitFailed, "no request in these logs"},
 		{"a time of day that is none", []string{"explain", "--since", "noon", logs}, command.ExitUsage, "want HH:MM:SS"},
-		{"no request at all", []string{"explain", "--slowest", "0", logs}, command.ExitUsage, "1 and more"},
-		{"no log at all", []string{"explain", "r-1"}, command.ExitUsage, "no log of a host"},
+		{"no request at all", []string{"explain", "--slowest", "0", logs}, command.ExitUsage, "want at least 1"},
+		{"no log at all", []string{"explain", "r-1"}, command.ExitUsage, "no log file given"},
 		{"no such log", []string{"explain", logs, logs + "x"}, command.ExitFailed, "no such file"},
 		{"a rate of 0", []string{"load", "--to", "10.0.0.1:1", "--workspace", "w", "--pipeline", "p", "--rate", "0"}, command.ExitUsage, "above 0"},
 	}
@@ -62,7 +62,7 @@
 	}
 }
 
-func TestCheckFindsReferencesToNothing(t *testing.T) {
+func TestCheckReportsMissingTemplate(t *testing.T) {
 	folder := t.TempDir()
 	assert.NilError(t, os.Mkdir(filepath.Join(folder, "workspaces"), 0o700))
 	value := `{"format":1,"name":"w","customer":"c","weight":1,"pipelines":{"gone":{}}}`
--- a/internal/command/demo.go
+++ b/internal/command/demo.go
@@ -23,36 +23,36 @@
 
 type demoCommand struct {
 	Nodes int           `default:"3" help:"Entry hosts for each site."`
-	Rate  float64       `default:"60" help:"Requests a second while a node and a backend server stop."`
-	For   time.Duration `default:"6s" help:"How long to offer them."`
-	// Platform shows whole nodes with the adapter instead.
-	Platform bool   `help:"Show nodes on a stand-in of the users' platform, with random faults, in memory."`
-	Seed     uint64 `default:"1" help:"Which faults come with --platform."`
+	Rate  float64       `default:"60" help:"Requests per second while a node and a backend server stop."`
+	For   time.Duration `default:"6s" help:"How long to send requests."`
+	// Platform runs whole nodes with the platform adapter instead of the example sites.
+	Platform bool   `help:"Run nodes on a stand-in of the users' platform, with random faults, in memory."`
+	Seed     uint64 `default:"1" help:"Seed of the random faults of --platform."`
 }
 
-// demoSite tells which workspace and pipeline a site is shown with, and which
-// pool loses a server.
+// demoSite selects the workspace and pipeline for the demo of a site, and the engine pool
+// in which a server is killed.
 type demoSite struct {
-	site      sites.Site
-	workspace string
-	pipeline  string
-	engines   string
+	site       sites.Site
+	workspace  string
+	pipeline   string
+	enginePool string
 }
 
 func demoSites() []demoSite {
 	return []demoSite{
-		{site: sites.ArhivaClimei(), workspace: "farm-cooperatives", pipeline: "field-note", engines: "logbook-readers"},
-		{site: sites.Farbwerk(), workspace: "paint-shops-north", pipeline: "recipe-explanation", engines: "language-models"},
+		{site: sites.ArhivaClimei(), workspace: "farm-cooperatives", pipeline: "field-note", enginePool: "logbook-readers"},
+		{site: sites.Farbwerk(), workspace: "paint-shops-north", pipeline: "recipe-explanation", enginePool: "language-models"},
 	}
 }
 
-// Run shows both sites, or the users' platform.
+// Run runs the demo of both sites, or of the users' platform with --platform.
 func (c demoCommand) Run(o *output) error {
 	if c.Platform {
-		return c.showPlatform(o)
+		return c.runPlatform(o)
 	}
 	for _, d := range demoSites() {
-		if err := c.show(o, d); err != nil {
+		if err := c.runSite(o, d); err != nil {
 			return fmt.Errorf("%s: %w", d.site.Name, err)
 		}
 	}
@@ -60,16 +60,16 @@
 	return nil
 }
 
-// settleFor is how long the nodes on the stand-in of the platform rest after the
-// last fault: its servers that leave go on for 9 s.
-const settleFor = 10 * time.Second
+// settleDuration is how long the nodes on the stand-in of the platform run without faults
+// after the last one. Servers that leave drain for 9 s.
+const settleDuration = 10 * time.Second
 
-// showPlatform runs nodes with the adapter under random faults, and tells what
-// callers were told and which promises were broken.
-func (c demoCommand) showPlatform(o *output) error {
+// runPlatform runs nodes with the platform adapter under random faults, and prints the
+// outcomes that callers got and the invariants that were violated.
+func (c demoCommand) runPlatform(o *output) error {
 	o.printf("%d nodes on a stand-in of the platform; faults of seed %d for %v\n", c.Nodes, c.Seed, c.For)
 	report, err := platformstandin.Campaign(context.Background(), platformstandin.CampaignOptions{
-		Nodes: c.Nodes, Seed: c.Seed, For: c.For, Settle: settleFor,
+		Nodes: c.Nodes, Seed: c.Seed, For: c.For, Settle: settleDuration,
 	})
 	if err != nil {
 		return err
@@ -81,22 +81,24 @@
 		o.printf("broken promise: %s\n", breach)
 	}
 	if len(report.Breaches) > 0 || report.Served == 0 {
-		return fmt.Errorf("%d broken promises, %d requests served at the end", len(report.Breaches), report.Served)
+		return fmt.Errorf("%d broken promises, %d requests served after the last fault", len(report.Breaches), report.Served)
 	}
 	return nil
 }
 
-func printCounts(o *output, what string, counts map[string]int) {
-	o.printf("%s:", what)
+func printCounts(o *output, label string, counts map[string]int) {
+	o.printf("%s:", label)
 	for _, name := range slices.Sorted(maps.Keys(counts)) {
 		o.printf(" %s %d;", name, counts[name])
 	}
 	o.printf("\n")
 }
 
-const demoStart = 20 * time.Second
+// demoStartTimeout bounds the start of the nodes and the questions.
+const demoStartTimeout = 20 * time.Second
 
-func (c demoCommand) show(o *output, d demoSite) error {
+// runSite runs the demo of one site.
+func (c demoCommand) runSite(o *output, d demoSite) error {
 	o.printf("\n== %s: %d nodes, %d pools\n", d.site.Name, c.Nodes, len(d.site.Pools))
 	running, err := harness.New(harness.Options{
 		Site:    d.site,
@@ -112,18 +114,19 @@
 		return err
 	}
 	defer running.Close()
-	ctx, cancel := context.WithTimeout(context.Background(), demoStart)
+	ctx, cancel := context.WithTimeout(context.Background(), demoStartTimeout)
 	defer cancel()
 	if err := running.AwaitReady(ctx); err != nil {
 		return err
 	}
-	if err := askAll(ctx, o, running.Client(""), d); err != nil {
+	if err := askQuestions(ctx, o, running.Client(""), d); err != nil {
 		return err
 	}
 	return c.stopUnderLoad(o, running, d)
 }
 
-func askAll(ctx context.Context, o *output, caller *client.Client, d demoSite) error {
+// askQuestions sends the questions of a site and prints each answer with its cost by stage.
+func askQuestions(ctx context.Context, o *output, caller *client.Client, d demoSite) error {
 	for _, q := range d.site.Questions {
 		o.printf("\nQ: %s\nA: ", q)
 		spec := request.Spec{Workspace: d.workspace, Pipeline: d.pipeline, Input: q}
@@ -140,12 +143,12 @@
 	return nil
 }
 
-// stopUnderLoad stops one node as planned and kills one engine while requests
-// come in, and checks that every one was answered.
+// stopUnderLoad stops one node gracefully and kills one engine while requests arrive, and
+// returns an error unless every request got the right answer in time.
 func (c demoCommand) stopUnderLoad(o *output, running *harness.Site, d demoSite) error {
 	o.printf("\nOffering %.0f requests a second; stopping node %s and killing one engine meanwhile.\n", c.Rate, running.Nodes()[0].Caller)
 	time.AfterFunc(c.For/4, running.Nodes()[0].Stop)
-	time.AfterFunc(c.For/2, func() { running.KillServer(running.Servers(d.engines)[0]) })
+	time.AfterFunc(c.For/2, func() { running.KillServer(running.Servers(d.enginePool)[0]) })
 	expected := make(map[string]string)
 	for _, q := range d.site.Questions {
 		text, err := standin.Expected(d.site.Documents, q)
@@ -154,7 +157,7 @@
 		}
 		expected[q] = text
 	}
-	callers := spread{running.Client(""), running.Client(""), running.Client("")}
+	callers := randomCaller{running.Client(""), running.Client(""), running.Client("")}
 	report := load.Run(context.Background(), load.Options{
 		Caller: callers,
 		Sources: []load.Source{{
@@ -173,7 +176,7 @@
 	<-running.Nodes()[0].Done()
 	offered, attained := report.Totals()
 	if attained != offered || report.Wrong() > 0 {
-		return fmt.Errorf("%d of %d requests were answered whole and in time", attained, offered)
+		return fmt.Errorf("%d of %d requests were answered completely and in time", attained, offered)
 	}
 	return nil
 }
--- a/internal/command/explain.go
+++ b/internal/command/explain.go
@@ -13,25 +13,25 @@
 	"github.com/wingvale/wingvale/internal/explain"
 )
 
-// sinceForm is how the time of day is given.
-const sinceForm = "15:04:05"
+// sinceLayout is the layout of --since, a time of day.
+const sinceLayout = "15:04:05"
 
 type explainCommand struct {
-	Outcome string   `help:"Requests that ended so, as refused or cut." placeholder:"NAME"`
-	Since   string   `help:"Requests that ended from this time of day on." placeholder:"HH:MM:SS"`
-	Slowest int      `default:"3" help:"How many, those that took longest."`
-	Args    []string `arg:"" name:"[id] file" help:"The id of a request, and logs of hosts, the more the better. Without an id: requests that the flags choose."`
+	Outcome string   `help:"Only requests with this outcome, such as refused or cut." placeholder:"NAME"`
+	Since   string   `help:"Only requests that ended at or after this time of day." placeholder:"HH:MM:SS"`
+	Slowest int      `default:"3" help:"How many requests to explain, the slowest first."`
+	Args    []string `arg:"" name:"[id] file" help:"The id of a request, and log files of as many hosts as possible. Without an id, the flags select the requests."`
 }
 
-// Run reads the logs and prints the way of each request that is asked for.
+// Run reads the logs and prints the trace of each selected request.
 func (c explainCommand) Run(o *output) error {
 	filter, err := c.filter()
 	if err != nil {
 		return fmt.Errorf("%w: %w", errUsage, err)
 	}
-	id, files := c.split()
+	id, files := c.splitArgs()
 	if len(files) == 0 {
-		return fmt.Errorf("%w: no log of a host is given", errUsage)
+		return fmt.Errorf("%w: no log file given", errUsage)
 	}
 	logs, err := readLogs(files)
 	if err != nil {
@@ -45,39 +45,39 @@
 		requests = logs.Requests(filter)
 	}
 	if len(requests) == 0 {
-		return errors.New("no request in these logs ended so")
+		return errors.New("no request in these logs matches")
 	}
 	for _, id := range requests {
-		story, err := logs.Of(id)
+		trace, err := logs.Of(id)
 		if err != nil {
 			return err
 		}
-		if err := story.Write(o.out); err != nil {
+		if err := trace.Write(o.out); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// split tells the id of a request from files: the first argument is one unless a file has
-// that name.
-func (c explainCommand) split() (id string, files []string) {
+// splitArgs separates the request id from the log files. The first argument is an id unless
+// a file of that name exists.
+func (c explainCommand) splitArgs() (id string, files []string) {
 	if _, err := os.Stat(c.Args[0]); errors.Is(err, fs.ErrNotExist) {
 		return c.Args[0], c.Args[1:]
 	}
 	return "", c.Args
 }
 
-// filter checks what is asked for.
+// filter returns the filter that the flags describe, or an error for a bad flag.
 func (c explainCommand) filter() (explain.Filter, error) {
 	if c.Slowest < 1 {
-		return explain.Filter{}, fmt.Errorf("--slowest %d: want 1 and more", c.Slowest)
+		return explain.Filter{}, fmt.Errorf("--slowest %d: want at least 1", c.Slowest)
 	}
 	f := explain.Filter{Outcome: c.Outcome, Slowest: c.Slowest}
 	if c.Since == "" {
 		return f, nil
 	}
-	since, err := time.Parse(sinceForm, c.Since)
+	since, err := time.Parse(sinceLayout, c.Since)
 	if err != nil {
 		return explain.Filter{}, fmt.Errorf("--since %q: want HH:MM:SS", c.Since)
 	}
@@ -85,7 +85,7 @@
 	return f, nil
 }
 
-// readLogs reads files of lines.
+// readLogs reads one log file per host.
 func readLogs(paths []string) (*explain.Logs, error) {
 	logs := &explain.Logs{}
 	for _, path := range paths {
--- a/internal/command/knownred.go
+++ b/internal/command/knownred.go
@@ -13,17 +13,17 @@
 )
 
 type knownRedCommand struct {
-	List   string `help:"The list of tests known to fail; none where there is no such file." default:"KNOWN-RED.txt" type:"path"`
-	Events string `help:"The events; - is the standard input." default:"-"`
+	List   string `help:"The list of tests known to fail; an absent file is an empty list." default:"KNOWN-RED.txt" type:"path"`
+	Events string `help:"The file with the events; - reads standard input." default:"-"`
 }
 
-// Run judges the events of go test -json on the standard input.
+// Run checks the events of go test -json against the list and prints the result.
 func (c *knownRedCommand) Run(o *output) error {
-	list, err := c.read()
+	list, err := c.readList()
 	if err != nil {
 		return fmt.Errorf("%w: %s: %w", errUsage, c.List, err)
 	}
-	events, err := c.open()
+	events, err := c.openEvents()
 	if err != nil {
 		return err
 	}
@@ -45,14 +45,14 @@
 	return nil
 }
 
-func (c *knownRedCommand) open() (*os.File, error) {
+func (c *knownRedCommand) openEvents() (*os.File, error) {
 	if c.Events == "-" {
 		return os.Stdin, nil
 	}
 	return os.Open(c.Events)
 }
 
-func (c *knownRedCommand) read() ([]knownred.Entry, error) {
+func (c *knownRedCommand) readList() ([]knownred.Entry, error) {
 	text, err := os.ReadFile(c.List)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, nil
--- a/internal/command/knownred_test.go
+++ b/internal/command/knownred_test.go
@@ -37,28 +37,28 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			code, text := knownRed(t, write(t, "list", c.list))
+			code, text := runKnownRed(t, writeFile(t, "list", c.list))
 			assert.Equal(t, code, c.want, text)
 			assert.Assert(t, strings.Contains(text, c.text), "got %q, want %q", text, c.text)
 		})
 	}
 }
 
-func TestKnownRedWithoutAFileListsNothing(t *testing.T) {
-	code, text := knownRed(t, filepath.Join(t.TempDir(), "none"))
+func TestKnownRedTreatsMissingListAsEmpty(t *testing.T) {
+	code, text := runKnownRed(t, filepath.Join(t.TempDir(), "none"))
 	assert.Equal(t, code, command.ExitFailed)
 	assert.Assert(t, strings.Contains(text, "fails: p TestA: failed"), "got %q", text)
 }
 
-func TestKnownRedStaysOutOfTheHelp(t *testing.T) {
+func TestKnownRedIsHiddenFromHelp(t *testing.T) {
 	var out bytes.Buffer
 	assert.Equal(t, command.Main([]string{"--help"}, &out, &out), command.ExitDone)
 	assert.Assert(t, !strings.Contains(out.String(), "known-red"), "got %q", out.String())
 }
 
-func knownRed(t *testing.T, list string) (int, string) {
+func runKnownRed(t *testing.T, list string) (int, string) {
 	t.Helper()
 	var out bytes.Buffer
-	code := command.Main([]string{"known-red", "--list", list, "--events", write(t, "events", failedRun)}, &out, &out)
+	code := command.Main([]string{"known-red", "--list", list, "--events", writeFile(t, "events", failedRun)}, &out, &out)
 	return code, out.String()
 }
--- a/internal/command/load.go
+++ b/internal/command/load.go
@@ -21,24 +21,24 @@
 	Workspace    string        `required:"" help:"The workspace."`
 	Pipeline     string        `required:"" help:"The pipeline template."`
 	Input        string        `default:"How do I mix alpine grey?" help:"The input."`
-	Rate         float64       `default:"10" help:"Requests a second, offered whether or not they are answered."`
-	For          time.Duration `default:"10s" help:"How long to offer."`
-	Deadline     time.Duration `default:"2s" help:"What counts as in time."`
-	Unrepeatable bool          `help:"Offer unrepeatable requests."`
-	Callers      int           `default:"4" help:"How many callers hold addresses of their own."`
-	Seed         uint64        `default:"1" help:"Seed of the arrivals."`
+	Rate         float64       `default:"10" help:"Requests per second, sent whether or not earlier ones were answered."`
+	For          time.Duration `default:"10s" help:"How long to send requests."`
+	Deadline     time.Duration `default:"2s" help:"Latency up to which an answer counts as in time."`
+	Unrepeatable bool          `help:"Send unrepeatable requests."`
+	Callers      int           `default:"4" help:"Number of callers, each with its own list of addresses."`
+	Seed         uint64        `default:"1" help:"Seed of the random arrival times."`
 }
 
-// Run offers the load.
+// Run generates the load and prints the report.
 func (c loadCommand) Run(o *output) error {
-	to, err := addresses(c.To)
+	to, err := parseAddresses(c.To)
 	if err != nil {
 		return err
 	}
 	if c.Rate <= 0 || c.For <= 0 || c.Callers < 1 {
-		return fmt.Errorf("%w: rate, time and callers must be above 0", errUsage)
+		return fmt.Errorf("%w: rate, duration and callers must be above 0", errUsage)
 	}
-	callers := make(spread, c.Callers)
+	callers := make(randomCaller, c.Callers)
 	for i := range callers {
 		callers[i] = client.New(client.Options{Bootstrap: to})
 	}
@@ -61,9 +61,9 @@
 		Random: rand.New(rand.NewPCG(c.Seed, c.Seed)),
 	}
 	if !c.json() {
-		options.Progress = func(at time.Duration, r *load.Report) {
+		options.Progress = func(elapsed time.Duration, r *load.Report) {
 			offered, attained := r.Totals()
-			_, _ = fmt.Fprintf(o.err, "\r%v: %d ended, %d in time", at.Round(time.Second), offered, attained)
+			_, _ = fmt.Fprintf(o.err, "\r%v: %d ended, %d in time", elapsed.Round(time.Second), offered, attained)
 		}
 	}
 	report := load.Run(context.Background(), options)
@@ -75,10 +75,10 @@
 	return nil
 }
 
-// spread takes any of several callers for each request.
-type spread []load.Caller
+// randomCaller sends each request through one of several callers, chosen at random.
+type randomCaller []load.Caller
 
-// Do runs spec.
-func (s spread) Do(ctx context.Context, spec request.Spec) (client.Answer, error) {
+// Do runs one request.
+func (s randomCaller) Do(ctx context.Context, spec request.Spec) (client.Answer, error) {
 	return s[rand.IntN(len(s))].Do(ctx, spec)
 }
--- a/internal/command/request.go
+++ b/internal/command/request.go
@@ -25,15 +25,15 @@
 	To           []string      `required:"" help:"Caller addresses of nodes to ask first."`
 	Workspace    string        `required:"" help:"The workspace."`
 	Pipeline     string        `required:"" help:"The pipeline template."`
-	Deadline     time.Duration `help:"How long to wait; the workspace's own bound applies too."`
+	Deadline     time.Duration `help:"How long to wait; the workspace's own limit applies too."`
 	Unrepeatable bool          `help:"Run the request at most once."`
 	Zone         string        `help:"The caller's availability zone."`
 	Input        string        `arg:"" help:"The input; - reads it from standard input."`
 }
 
-// Run sends the request.
+// Run sends the request and prints the answer.
 func (c requestCommand) Run(o *output) error {
-	to, err := addresses(c.To)
+	to, err := parseAddresses(c.To)
 	if err != nil {
 		return err
 	}
@@ -64,7 +64,7 @@
 	}
 	answer, err := caller.Stream(context.Background(), spec, observer)
 	if err != nil {
-		return o.requestFailed(c.format, answer, err)
+		return o.reportFailure(c.format, answer, err)
 	}
 	if c.json() {
 		return o.printJSON(answer)
@@ -73,7 +73,8 @@
 	return nil
 }
 
-func (o *output) requestFailed(f format, answer client.Answer, err error) error {
+// reportFailure prints a failed request as JSON if f asks for it, and returns the error to show.
+func (o *output) reportFailure(f format, answer client.Answer, err error) error {
 	if f.json() {
 		failed := request.FailedOf(err)
 		failed.Costs = answer.Costs
@@ -81,7 +82,7 @@
 	}
 	e := verdict.As(err)
 	if e.RetryAfter > 0 {
-		return fmt.Errorf("%w; come back in %v", err, e.RetryAfter.Round(time.Millisecond))
+		return fmt.Errorf("%w; retry after %v", err, e.RetryAfter.Round(time.Millisecond))
 	}
 	return err
 }
@@ -92,9 +93,9 @@
 	Zone string   `help:"The caller's availability zone."`
 }
 
-// Run asks for addresses.
+// Run asks a node for addresses and prints them.
 func (c entriesCommand) Run(o *output) error {
-	to, err := addresses(c.To)
+	to, err := parseAddresses(c.To)
 	if err != nil {
 		return err
 	}
@@ -118,16 +119,16 @@
 }
 
 const (
-	dumpLimit = 64 << 20
-	dumpFor   = 10 * time.Second
+	maxDumpBytes = 64 << 20
+	dumpTimeout  = 10 * time.Second
 )
 
-// Run prints the dump, which is JSON.
+// Run fetches a node's state and prints it as JSON.
 func (c dumpCommand) Run(o *output) error {
 	if _, err := netip.ParseAddrPort(c.Peer); err != nil {
-		return fmt.Errorf("%w: %q: want an IP number and a port", errUsage, c.Peer)
+		return fmt.Errorf("%w: %q: want an IP address and a port", errUsage, c.Peer)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), dumpFor)
+	ctx, cancel := context.WithTimeout(context.Background(), dumpTimeout)
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+c.Peer+"/dump", http.NoBody)
 	if err != nil {
@@ -139,9 +140,9 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		return fmt.Errorf("%s answers %s", c.Peer, strings.ToLower(response.Status))
+		return fmt.Errorf("%s responded with status %s", c.Peer, strings.ToLower(response.Status))
 	}
-	v, err := wire.ReadLoose[any](response.Body, dumpLimit)
+	v, err := wire.ReadLoose[any](response.Body, maxDumpBytes)
 	if err != nil {
 		return err
 	}
--- a/internal/command/soak.go
+++ b/internal/command/soak.go
@@ -16,25 +16,25 @@
 )
 
 const (
-	// soakServed is the share of requests that are served once all has come to
-	// rest.
-	soakServed = 0.95
-	// jobsMost bounds the seeds that run at the same time; soaks that run
-	// beside each other use other addresses.
-	jobsMost = 16
+	// minServedShare is the share of the requests after the last fault that a passing seed
+	// has to serve.
+	minServedShare = 0.95
+	// maxJobs limits the seeds that run at the same time. Concurrent soak runs use different
+	// addresses, which are derived from the process id and the job.
+	maxJobs = 16
 )
 
 type soakCommand struct {
-	Binary string        `help:"The daemon to run; by default wingvaled beside this program." type:"path"`
+	Binary string        `help:"The daemon to run; by default wingvaled in the folder of this program." type:"path"`
 	Seed   uint64        `help:"The first seed." default:"1"`
-	Count  int           `help:"How many seeds." default:"1"`
-	Nodes  int           `help:"How many daemons a seed has." default:"5"`
-	For    time.Duration `help:"How long faults go on." default:"12s"`
-	Jobs   int           `help:"How many seeds run at the same time." default:"1"`
-	Dir    string        `help:"Where settings and logs go; by default a new folder." type:"path"`
+	Count  int           `help:"Number of seeds." default:"1"`
+	Nodes  int           `help:"Number of daemons of each seed." default:"5"`
+	For    time.Duration `help:"How long faults are injected." default:"12s"`
+	Jobs   int           `help:"Number of seeds that run at the same time." default:"1"`
+	Dir    string        `help:"Folder for settings and logs; by default a new temporary folder." type:"path"`
 }
 
-// Run runs the soak and prints a line for each seed.
+// Run runs all seeds and prints a line for each. It fails if any seed fails.
 func (c *soakCommand) Run(o *output) error {
 	if c.Binary == "" {
 		self, err := os.Executable()
@@ -55,10 +55,10 @@
 	failed := 0
 	seeds := make(chan uint64)
 	var workers sync.WaitGroup
-	for job := range min(max(c.Jobs, 1), jobsMost) {
+	for job := range min(max(c.Jobs, 1), maxJobs) {
 		workers.Go(func() {
 			for seed := range seeds {
-				ok, line := c.one(job, seed)
+				ok, line := c.runSeed(job, seed)
 				mu.Lock()
 				_, _ = fmt.Fprintln(o.out, line)
 				if !ok {
@@ -80,22 +80,23 @@
 	return nil
 }
 
-func (c *soakCommand) one(job int, seed uint64) (bool, string) {
+// runSeed runs one seed. It reports whether the seed passed, and the line to print for it.
+func (c *soakCommand) runSeed(job int, seed uint64) (bool, string) {
 	r, err := soak.Run(context.Background(), soak.Options{
-		Binary: c.Binary, Dir: c.Dir, Seed: seed, Nodes: c.Nodes, For: c.For, Run: os.Getpid()*jobsMost + job,
+		Binary: c.Binary, Dir: c.Dir, Seed: seed, Nodes: c.Nodes, For: c.For, Run: os.Getpid()*maxJobs + job,
 	})
 	line := fmt.Sprintf("seed %d: served %d of %d after the last fault; told %v; faults %v", seed, r.Served, r.After, r.Outcomes, r.Faults)
 	if err != nil {
 		return false, line + "; " + err.Error()
 	}
-	return passed(r), line + breaches(r)
+	return passed(r), line + formatBreaches(r)
 }
 
 func passed(r standin.Report) bool {
-	return len(r.Breaches) == 0 && float64(r.Served) >= soakServed*float64(r.After)
+	return len(r.Breaches) == 0 && float64(r.Served) >= minServedShare*float64(r.After)
 }
 
-func breaches(r standin.Report) string {
+func formatBreaches(r standin.Report) string {
 	text := ""
 	for _, b := range r.Breaches {
 		text += "\n  broken: " + b
--- a/internal/command/standin.go
+++ b/internal/command/standin.go
@@ -24,8 +24,8 @@
 	Settings string `arg:"" type:"path" help:"An INI file: [standin] site, work, token, nodes, folder. See docs/OPERATORS.md."`
 }
 
-// Run serves a site's stand-ins until a signal ends it. It writes settings for
-// the daemons that are to run against them.
+// Run serves the stand-ins of a site until SIGTERM or SIGINT. It writes a settings file for
+// each daemon that is to run against them.
 func (c standinCommand) Run(o *output) error {
 	s, err := settings.LoadStandin(c.Settings)
 	if err != nil {
@@ -45,7 +45,7 @@
 		return err
 	}
 	defer running.Close()
-	if err := writeNodes(o, running, site, s); err != nil {
+	if err := writeNodeSettings(o, running, site, s); err != nil {
 		return err
 	}
 	o.printf("platform %s with %d backend servers; end with a signal\n", running.Platform(), len(running.Servers("")))
@@ -55,8 +55,8 @@
 	return nil
 }
 
-// writeNodes lists entry hosts and writes a settings file for each.
-func writeNodes(o *output, running *harness.Site, site sites.Site, s settings.Standin) error {
+// writeNodeSettings publishes the entry hosts and writes a settings file for each.
+func writeNodeSettings(o *output, running *harness.Site, site sites.Site, s settings.Standin) error {
 	for i := range s.Nodes {
 		caller, err := harness.Loopback{}.Address(0, 0)
 		if err != nil {
