--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -43,7 +43,7 @@
 		{"a host name", []string{"request", "--to", "host:1", "--workspace", "w", "--pipeline", "p", "x"}, command.ExitUsage, "IP address"},
 		{"a bad workspace name", []string{"request", "--to", "10.0.0.1:1", "--workspace", "W!", "--pipeline", "p", "x"}, command.ExitUsage, "lower-case"},
 		{"a request over logs", []string{"explain", "--outcome", "late", logs}, command.ExitDone, "it would not be reached in time"},
-		{"a request in no log", []string{"explain", "r-9", logs}, command.ExitFailed, "no line names the request"},
+		{"a request in no log", []string{"explain", "r-9", logs}, command.ExitFailed, "request not found in any log"},
 		{"no request of an outcome", []string{"explain", "--outcome", "cut", logs}, command.ExitFailed, "no request in these logs"},
 		{"a time of day that is none", []string{"explain", "--since", "noon", logs}, command.ExitUsage, "want HH:MM:SS"},
 		{"no request at all", []string{"explain", "--slowest", "0", logs}, command.ExitUsage, "want at least 1"},
--- a/internal/explain/doc.go
+++ b/internal/explain/doc.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The Wingvale Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package explain reads the logs of hosts and tells the way of one request over all of
-// them: who decided what, on which belief and how old that was, where the time went, and
-// why it ended as it did.
+// Package explain reads the logs of several hosts and traces one request through them: which
+// host decided what, which state it decided on and how old that state was, where the time
+// was spent, and why the request ended as it did.
 package explain
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -14,9 +14,10 @@
 	"github.com/wingvale/wingvale/internal/explain"
 )
 
-// first took the requests, second owned a pool. A prefix may stand before a line.
+// entryLog is the log of the host that accepted the requests, with a prefix before one line.
+// ownerLog is the log of a host that owns a pool.
 const (
-	first = `
+	entryLog = `
 {"msg":"configuration in force","node":"10.1.0.1:80","time":"10:00:00.000","version":4}
 {"msg":"a backend server leaves","node":"10.1.0.1:80","server":"i-1","source":"peer","time":"10:00:05.000"}
 {"msg":"a backend server asks for rest","node":"10.1.0.1:80","server":"i-other","asked_ms":3000,"time":"10:00:05.500"}
@@ -26,12 +27,12 @@
 {"msg":"configuration in force","node":"10.1.0.1:80","time":"10:00:09.000","version":5}
 not a line
 `
-	second = `
+	ownerLog = `
 {"msg":"work waits long for stage servers","node":"10.2.0.1:80","oldest_ms":900,"time":"10:00:06.800"}
 `
 )
 
-func logsOf(t *testing.T, texts ...string) *explain.Logs {
+func readLogs(t *testing.T, texts ...string) *explain.Logs {
 	t.Helper()
 	logs := &explain.Logs{}
 	for _, text := range texts {
@@ -42,7 +43,7 @@
 	return logs
 }
 
-func story(t *testing.T, logs *explain.Logs, id string) string {
+func writeTrace(t *testing.T, logs *explain.Logs, id string) string {
 	t.Helper()
 	s, err := logs.Of(id)
 	assert.NilError(t, err)
@@ -51,10 +52,10 @@
 	return b.String()
 }
 
-func TestTheWayOfARequest(t *testing.T) {
-	logs := logsOf(t, first, second)
+func TestTraceShowsLinesStateChangesAndTimes(t *testing.T) {
+	logs := readLogs(t, entryLog, ownerLog)
 	assert.Equal(t, logs.Unread, 1)
-	got := story(t, logs, "r-1")
+	got := writeTrace(t, logs, "r-1")
 	for _, want := range []string{
 		"late: a stage's owner told that it would not be reached in time",
 		"10:00:06.900  10.1.0.1:80  stage failed failure=late owner=10.2.0.1:80",
@@ -69,20 +70,20 @@
 	}
 }
 
-func TestWhoseLogIsMissing(t *testing.T) {
-	got := story(t, logsOf(t, first), "r-1")
+func TestTraceNamesHostsWhoseLogIsMissing(t *testing.T) {
+	got := writeTrace(t, readLogs(t, entryLog), "r-1")
 	assert.Check(t, strings.Contains(got, "the log of 10.2.0.1:80 is missing"), got)
-	_, err := logsOf(t, second).Of("r-1")
+	_, err := readLogs(t, ownerLog).Of("r-1")
 	assert.Check(t, errors.Is(err, explain.ErrUnknown))
 }
 
-func TestARequestWithoutItsEnd(t *testing.T) {
-	logs := logsOf(t, `{"msg":"stage failed","node":"h","request":"r-9","time":"10:00:00.000"}`)
-	assert.Check(t, strings.Contains(story(t, logs, "r-9"), "no log has its end"))
+func TestTraceWithoutLastLine(t *testing.T) {
+	logs := readLogs(t, `{"msg":"stage failed","node":"h","request":"r-9","time":"10:00:00.000"}`)
+	assert.Check(t, strings.Contains(writeTrace(t, logs, "r-9"), "no log has its end"))
 }
 
-func TestRequestsThatAreChosen(t *testing.T) {
-	logs := logsOf(t, first, second)
+func TestRequestsAppliesFilter(t *testing.T) {
+	logs := readLogs(t, entryLog, ownerLog)
 	since := time.Date(0, 1, 1, 10, 0, 7, 500e6, time.UTC)
 	assert.DeepEqual(t, logs.Requests(explain.Filter{}), []string{"r-2", "r-1"})
 	assert.DeepEqual(t, logs.Requests(explain.Filter{Slowest: 1}), []string{"r-2"})
@@ -90,9 +91,9 @@
 	assert.DeepEqual(t, logs.Requests(explain.Filter{Since: since}), []string{"r-2"})
 }
 
-// FuzzRead reads anything without coming to a stop.
+// FuzzRead checks that parsing never panics and that each request found can be traced and written.
 func FuzzRead(f *testing.F) {
-	f.Add(first)
+	f.Add(entryLog)
 	f.Add(`{"msg":7,"time":"10:00:00.000","node":null,"took_ms":"x"}`)
 	f.Fuzz(func(t *testing.T, text string) {
 		lines, unread, err := explain.Read(strings.NewReader(text))
--- a/internal/explain/line.go
+++ b/internal/explain/line.go
@@ -13,27 +13,28 @@
 )
 
 const (
-	// lineMost bounds one line: the longest is a pool's state with 60 servers.
-	lineMost = 1 << 20
-	// clock is the form of the time of day in a line.
-	clock = "15:04:05.000"
+	// maxLineBytes limits the length of one line. The longest lines hold the state of a pool
+	// with 60 servers.
+	maxLineBytes = 1 << 20
+	// timeLayout is the layout of the time of day in a line.
+	timeLayout = "15:04:05.000"
 )
 
 // Line is one line of a host's log.
 type Line struct {
-	// At is the time of day by the host's clock.
+	// At is the time of day by the host's clock. Its date is January 1 of year 0.
 	At time.Time
-	// Host is the address that callers reach it at.
+	// Host is the address at which callers reach the host that wrote the line.
 	Host    string
 	Message string
-	// Request is the id of the request that it is about; empty is none.
+	// Request is the id of the request that the line is about. It is empty if there is none.
 	Request string
-	// Fields are all others that it has.
+	// Fields are the remaining fields of the line by name.
 	Fields map[string]any
 }
 
-// text returns a field as text; empty where it is missing.
-func (l Line) text(name string) string {
+// textField returns a field as text. It returns "" if the field is missing.
+func (l Line) textField(name string) string {
 	v, ok := l.Fields[name]
 	if !ok {
 		return ""
@@ -41,23 +42,24 @@
 	return fmt.Sprint(v)
 }
 
-// milliseconds returns a field that tells a time; 0 where it is missing.
-func (l Line) milliseconds(name string) time.Duration {
+// durationField returns a field that holds milliseconds as a duration. It returns 0 if the
+// field is missing or not a number.
+func (l Line) durationField(name string) time.Duration {
 	ms, _ := l.Fields[name].(float64)
 	return time.Duration(ms * float64(time.Millisecond))
 }
 
-// Read reads one log: a JSON object a line, whatever stands before it. It returns the lines
-// in order and how many could not be read.
+// Read reads one log, with one JSON object per line after an optional prefix. It returns the
+// lines in order and the number of lines that could not be parsed.
 func Read(r io.Reader) (lines []Line, unread int, err error) {
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(make([]byte, 64<<10), lineMost)
+	scanner.Buffer(make([]byte, 64<<10), maxLineBytes)
 	for scanner.Scan() {
 		text := scanner.Text()
 		if strings.TrimSpace(text) == "" {
 			continue
 		}
-		l, ok := parse(text)
+		l, ok := parseLine(text)
 		if !ok {
 			unread++
 			continue
@@ -70,19 +72,20 @@
 	return lines, unread, nil
 }
 
-// parse reads one line; it reports false for what is none.
-func parse(text string) (Line, bool) {
-	begin := strings.IndexByte(text, '{')
-	if begin < 0 {
+// parseLine parses one line of a log. It returns false if the line holds no JSON object, no
+// message or no valid time.
+func parseLine(text string) (Line, bool) {
+	start := strings.IndexByte(text, '{')
+	if start < 0 {
 		return Line{}, false
 	}
 	fields := make(map[string]any)
-	if json.Unmarshal([]byte(text[begin:]), &fields) != nil {
+	if json.Unmarshal([]byte(text[start:]), &fields) != nil {
 		return Line{}, false
 	}
 	l := Line{Fields: fields}
-	l.Host, l.Message, l.Request = l.text("node"), l.text("msg"), l.text("request")
-	at, err := time.Parse(clock, l.text("time"))
+	l.Host, l.Message, l.Request = l.textField("node"), l.textField("msg"), l.textField("request")
+	at, err := time.Parse(timeLayout, l.textField("time"))
 	if err != nil || l.Message == "" {
 		return Line{}, false
 	}
--- a/internal/explain/logs.go
+++ b/internal/explain/logs.go
@@ -9,19 +9,20 @@
 	"time"
 )
 
-// ended is the last line of a request, on the host that took it.
-const ended = "request ended"
+// endMessage is the message of the last line of a request, on the host that accepted it.
+const endMessage = "request ended"
 
-// Logs are those of some hosts.
+// Logs holds the merged logs of several hosts. The zero value is empty and ready to use.
 type Logs struct {
-	// lines are in order of time.
+	// lines are sorted by time.
 	lines []Line
+	// hosts is the set of hosts that wrote a line.
 	hosts map[string]bool
-	// Unread counts lines that could not be read.
+	// Unread is the number of lines that could not be parsed.
 	Unread int
 }
 
-// Add takes in one host's lines.
+// Add adds the lines of one host, and the number of its lines that could not be parsed.
 func (g *Logs) Add(lines []Line, unread int) {
 	if g.hosts == nil {
 		g.hosts = make(map[string]bool)
@@ -34,33 +35,34 @@
 	g.Unread += unread
 }
 
-// Filter chooses requests; zero fields choose all.
+// Filter selects requests that have ended. A field with its zero value selects all of them.
 type Filter struct {
+	// Outcome is the outcome that requests ended with.
 	Outcome string
-	// Since is the time of day from which on they ended.
+	// Since is the earliest time of day at which requests ended.
 	Since time.Time
-	// Slowest is how many are chosen, those that took longest.
+	// Slowest is the maximum number of requests. Those that took longest are selected.
 	Slowest int
 }
 
-// chooses reports whether a filter chooses a request by its last line.
-func (f Filter) chooses(l Line) bool {
-	if f.Outcome != "" && l.text("outcome") != f.Outcome {
+// matches reports whether the filter selects the request whose last line is l.
+func (f Filter) matches(l Line) bool {
+	if f.Outcome != "" && l.textField("outcome") != f.Outcome {
 		return false
 	}
-	// Times of day are of the year 0, before the zero time.
+	// Times of day are in year 0, which is before the zero time.
 	return f.Since.IsZero() || !l.At.Before(f.Since)
 }
 
-// Requests returns the ids of the requests that a filter chooses, the slowest first.
+// Requests returns the ids of the requests that a filter selects, the slowest first.
 func (g *Logs) Requests(f Filter) []string {
 	var ends []Line
 	for _, l := range g.lines {
-		if l.Message == ended && f.chooses(l) {
+		if l.Message == endMessage && f.matches(l) {
 			ends = append(ends, l)
 		}
 	}
-	slices.SortStableFunc(ends, func(a, b Line) int { return cmp.Compare(b.milliseconds("took_ms"), a.milliseconds("took_ms")) })
+	slices.SortStableFunc(ends, func(a, b Line) int { return cmp.Compare(b.durationField("took_ms"), a.durationField("took_ms")) })
 	if f.Slowest > 0 {
 		ends = ends[:min(len(ends), f.Slowest)]
 	}
@@ -71,13 +73,13 @@
 	return ids
 }
 
-// missing returns the hosts that a request's lines name and whose logs are not among
-// these.
-func (g *Logs) missing(lines []Line) []string {
+// missingHosts returns the hosts that the lines of a request refer to and whose logs were
+// not added, sorted.
+func (g *Logs) missingHosts(lines []Line) []string {
 	var hosts []string
 	for _, l := range lines {
 		for _, name := range []string{"owner", "peer"} {
-			if host := l.text(name); host != "" && !g.hosts[host] && !slices.Contains(hosts, host) {
+			if host := l.textField(name); host != "" && !g.hosts[host] && !slices.Contains(hosts, host) {
 				hosts = append(hosts, host)
 			}
 		}
@@ -86,8 +88,8 @@
 	return hosts
 }
 
-// of returns the lines of a request.
-func (g *Logs) of(id string) []Line {
+// requestLines returns the lines of a request in order of time.
+func (g *Logs) requestLines(id string) []Line {
 	var lines []Line
 	for _, l := range g.lines {
 		if l.Request == id {
--- a/internal/explain/story.go
+++ b/internal/explain/trace.go
@@ -13,10 +13,10 @@
 	"time"
 )
 
-// ErrUnknown says that no log has a request.
-var ErrUnknown = errors.New("explain: no line names the request")
+// ErrUnknown is returned for a request that no log mentions.
+var ErrUnknown = errors.New("explain: request not found in any log")
 
-// causes name why a request ended so, by its outcome.
+// causes explains each outcome of a request.
 var causes = map[string]string{
 	"answered":      "it was answered",
 	"left":          "its caller left",
@@ -38,9 +38,10 @@
 	"connection":    "a connection broke",
 }
 
-// beliefs are the lines by which a host's belief changed that may have decided, with the
-// field that ties them to a request's server; empty ties them to any.
-var beliefs = map[string]string{
+// stateChanges are the messages of log lines that record a change in the state on which a host
+// bases its decisions. The value is the field that has to match a server of the request; with
+// an empty value the line is relevant to every request.
+var stateChanges = map[string]string{
 	"configuration in force":                                "",
 	"the platform does not answer":                          "",
 	"the platform answers again":                            "",
@@ -57,71 +58,72 @@
 	"leaving":                                               "",
 }
 
-// Story is the way of one request.
+// Story is the trace of one request through the logs.
 type Story struct {
 	Request string
-	// Lines are the request's own, in order of time.
+	// Lines are the lines of the request, in order of time.
 	Lines []Line
-	// Beliefs are what the host that took it last learnt of each kind, and of its servers,
-	// before it ended.
+	// Beliefs are the latest state changes of each kind, for each server of the request, that
+	// the host that accepted the request logged before the request ended.
 	Beliefs []Line
-	// Missing are the hosts that its lines name and whose logs were not given.
+	// Missing are the hosts that the lines refer to and whose logs were not given.
 	Missing []string
-	// End is its last line; Ended is false where no log has one.
+	// End is the last line of the request. Ended is false if no log contains it.
 	End   Line
 	Ended bool
 }
 
-// Of tells the way of a request. Its error is ErrUnknown.
+// Of returns the trace of the request with the given id. Its error wraps ErrUnknown if no log
+// mentions the request.
 func (g *Logs) Of(id string) (Story, error) {
-	s := Story{Request: id, Lines: g.of(id)}
+	s := Story{Request: id, Lines: g.requestLines(id)}
 	if len(s.Lines) == 0 {
-		return Story{}, fmt.Errorf("%w: %s; logs of %d hosts were read, that of the host which took it may be missing", ErrUnknown, id, len(g.hosts))
+		return Story{}, fmt.Errorf("%w: %s: read the logs of %d hosts; the log of the host that accepted it may be missing", ErrUnknown, id, len(g.hosts))
 	}
-	s.Missing = g.missing(s.Lines)
+	s.Missing = g.missingHosts(s.Lines)
 	for _, l := range s.Lines {
-		if l.Message == ended {
+		if l.Message == endMessage {
 			s.End, s.Ended = l, true
 		}
 	}
 	if s.Ended {
-		s.Beliefs = g.beliefsOf(s)
+		s.Beliefs = g.latestStateChanges(s)
 	}
 	return s, nil
 }
 
-// beliefsOf returns the last line of each kind of belief that the host which took a request
-// had when that ended.
-func (g *Logs) beliefsOf(s Story) []Line {
+// latestStateChanges returns the latest state change of each kind, for each server of the
+// request, on the host that accepted the request, up to the end of the request.
+func (g *Logs) latestStateChanges(s Story) []Line {
 	servers := make(map[string]bool)
 	for _, l := range s.Lines {
-		servers[l.text("server")] = true
+		servers[l.textField("server")] = true
 	}
 	last := make(map[string]Line)
 	for _, l := range g.lines {
-		tie, ok := beliefs[l.Message]
-		if !ok || l.Host != s.End.Host || l.At.After(s.End.At) || tie != "" && !servers[l.text(tie)] {
+		serverField, ok := stateChanges[l.Message]
+		if !ok || l.Host != s.End.Host || l.At.After(s.End.At) || serverField != "" && !servers[l.textField(serverField)] {
 			continue
 		}
-		last[l.Message+" "+l.text(tie)] = l
+		last[l.Message+" "+l.textField(serverField)] = l
 	}
 	return slices.SortedFunc(maps.Values(last), func(a, b Line) int { return a.At.Compare(b.At) })
 }
 
-// Write writes the story for people.
+// Write writes the trace as text.
 func (s Story) Write(w io.Writer) error {
 	var b strings.Builder
-	s.head(&b)
+	s.writeSummary(&b)
 	for _, l := range s.Lines {
-		fmt.Fprintf(&b, "  %s  %s  %s%s\n", l.At.Format(clock), l.Host, l.Message, fieldsOf(l))
+		fmt.Fprintf(&b, "  %s  %s  %s%s\n", l.At.Format(timeLayout), l.Host, l.Message, formatFields(l))
 	}
 	if len(s.Beliefs) > 0 {
 		fmt.Fprintf(&b, "what %s believed, and for how long:\n", s.End.Host)
 		for _, l := range s.Beliefs {
-			fmt.Fprintf(&b, "  %s  %s%s\n", s.End.At.Sub(l.At).Round(time.Millisecond), l.Message, fieldsOf(l))
+			fmt.Fprintf(&b, "  %s  %s%s\n", s.End.At.Sub(l.At).Round(time.Millisecond), l.Message, formatFields(l))
 		}
 	}
-	s.times(&b)
+	s.writeTimes(&b)
 	for _, host := range s.Missing {
 		fmt.Fprintf(&b, "the log of %s is missing: it was asked for this request\n", host)
 	}
@@ -129,27 +131,27 @@
 	return err
 }
 
-// head tells how the request ended and why.
-func (s Story) head(b *strings.Builder) {
+// writeSummary writes how the request ended and why.
+func (s Story) writeSummary(b *strings.Builder) {
 	if !s.Ended {
 		fmt.Fprintf(b, "request %s: no log has its end; that of the host which took it is missing, or it was under way\n", s.Request)
 		return
 	}
-	outcome := s.End.text("outcome")
+	outcome := s.End.textField("outcome")
 	cause, ok := causes[outcome]
 	if !ok {
 		cause = outcome
 	}
-	fmt.Fprintf(b, "request %s on %s, workspace %s: %s: %s\n", s.Request, s.End.text("route"), s.End.text("workspace"), outcome, cause)
+	fmt.Fprintf(b, "request %s on %s, workspace %s: %s: %s\n", s.Request, s.End.textField("route"), s.End.textField("workspace"), outcome, cause)
 }
 
-// times tells where the time went.
-func (s Story) times(b *strings.Builder) {
+// writeTimes writes how long the parts of the request took.
+func (s Story) writeTimes(b *strings.Builder) {
 	if !s.Ended {
 		return
 	}
-	stages, first, took := s.End.milliseconds("stages_ms"), s.End.milliseconds("first_ms"), s.End.milliseconds("took_ms")
-	fmt.Fprintf(b, "time: %v in all of %v, in time within %v", took, s.End.milliseconds("held_ms"), s.End.milliseconds("objective_ms"))
+	stages, first, took := s.End.durationField("stages_ms"), s.End.durationField("first_ms"), s.End.durationField("took_ms")
+	fmt.Fprintf(b, "time: %v in all of %v, in time within %v", took, s.End.durationField("held_ms"), s.End.durationField("objective_ms"))
 	if stages > 0 {
 		fmt.Fprintf(b, "; stages %v", stages)
 	}
@@ -159,8 +161,8 @@
 	b.WriteString("\n")
 }
 
-// fieldsOf returns a line's fields in order, for people.
-func fieldsOf(l Line) string {
+// formatFields returns the fields of a line as text, sorted by name.
+func formatFields(l Line) string {
 	var b strings.Builder
 	for _, name := range slices.Sorted(maps.Keys(l.Fields)) {
 		fmt.Fprintf(&b, " %s=%v", name, l.Fields[name])
