--- a/internal/knownred/doc.go
+++ b/internal/knownred/doc.go
@@ -1,14 +1,14 @@
 // Copyright 2026 The Wingvale Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package knownred reads the list of tests that are known to fail, and judges a
-// run of go test -json against it: the listed tests must fail, each of them, and
-// nothing else may.
+// Package knownred parses the list of tests that are known to fail, and checks a
+// run of go test -json against it: each listed test must fail, and nothing else
+// may fail.
 //
-// A list has one line each, of three fields:
+// A list has one line per test, with three fields:
 //
 //	github.com/wingvale/wingvale/internal/owner TestName | cause | issue
 //
-// The test is a whole top-level one; its subtests count to it. Blank lines and
-// lines that begin with # say nothing.
+// The test is a top-level test. A failure of one of its subtests counts as a failure
+// of the test. Blank lines and lines that begin with # are ignored.
 package knownred
--- a/internal/knownred/judge.go
+++ b/internal/knownred/judge.go
@@ -13,38 +13,38 @@
 	"strings"
 )
 
-// ActionEnd is the action of the last event of a run, which whoever starts
-// go test adds: {"Action":"go-test-end","Status":1}, with its exit status.
+// ActionEnd is the action of the last event of a run. The caller of go test appends
+// this event with the exit status: {"Action":"go-test-end","Status":1}.
 const ActionEnd = "go-test-end"
 
-// Exit statuses of go test that a run may end with.
+// Exit statuses of go test for a complete run.
 const (
 	statusPassed = 0
 	statusFailed = 1
 )
 
-// lineLimit is the longest event read, in bytes; go test cuts a test's output
-// into events of some kilobytes.
-const lineLimit = 16 << 20
+// maxEventBytes is the length of the longest event that is read. go test splits the
+// output of a test into events of a few kilobytes.
+const maxEventBytes = 16 << 20
 
-// Texts of the testing package and of the race detector.
+// Texts that the testing package and the race detector print.
 const (
-	raceText     = "WARNING: DATA RACE"
-	raceFailed   = "race detected during execution of test"
-	endedText    = "FAIL\n"
-	stepPrefix   = "=== "
-	reportPrefix = "--- "
+	raceText        = "WARNING: DATA RACE"
+	raceFailureText = "race detected during execution of test"
+	failedText      = "FAIL\n"
+	progressPrefix  = "=== "
+	reportPrefix    = "--- "
 )
 
-// ErrEvent is of a stream with something other than an event.
+// ErrEvent is returned for a line that is not an event.
 var ErrEvent = errors.New("not an event of go test -json")
 
-// Kind says what of a run fails it.
+// Kind is the kind of a fault.
 type Kind string
 
 // Kinds of faults.
 const (
-	// ListedPassed is a listed test that passes: it must come off the list.
+	// ListedPassed is a listed test that passes. It must be removed from the list.
 	ListedPassed Kind = "listed, but passes: take it off the list"
 	// ListedSkipped is a listed test that is skipped.
 	ListedSkipped Kind = "listed, but skipped"
@@ -52,33 +52,34 @@
 	ListedNotRun Kind = "listed, but did not run"
 	// TestFailed is a failed test that is not listed.
 	TestFailed Kind = "failed"
-	// TestUnfinished is a test that began and did not end.
+	// TestUnfinished is a test that started and did not finish.
 	TestUnfinished Kind = "did not end"
 	// PackageNotBuilt is a package whose tests did not build.
 	PackageNotBuilt Kind = "did not build"
-	// PackageStopped is a package whose tests did not all get their turn, as
-	// after a panic, a time-out or an exit.
+	// PackageStopped is a package that stopped before all of its tests had run,
+	// for example after a panic, a timeout or a call of os.Exit.
 	PackageStopped Kind = "stopped before its tests ended"
 	// PackageRace is a data race outside the listed tests.
 	PackageRace Kind = "a data race outside the listed tests"
-	// PackageFailed is a package that failed with no failed test, or that said
-	// something after its tests had ended.
+	// PackageFailed is a package that failed without a failed test, or that printed
+	// something after its tests had finished.
 	PackageFailed Kind = "failed beside its tests"
-	// PackageUnfinished is a package that began and did not end.
+	// PackageUnfinished is a package that started and did not finish.
 	PackageUnfinished Kind = "package did not end"
-	// RunBroken is a run that did not end as its packages say.
+	// RunBroken is a run whose exit status is missing or does not match the results of its
+	// packages, or that has no packages.
 	RunBroken Kind = "go test did not end as its packages did"
 )
 
-// Fault is a reason for which a run fails.
+// Fault is a reason why a run fails.
 type Fault struct {
 	Kind Kind
-	// Test has no name where the fault is a package's, and no package either
-	// where it is the run's.
+	// Test is the test that the fault is about. Its name is empty for a fault of a
+	// package, and its package is also empty for a fault of the whole run.
 	Test Test
 }
 
-// String is the fault in a line.
+// String returns the fault as one line.
 func (f Fault) String() string {
 	if f.Test == (Test{}) {
 		return string(f.Kind)
@@ -86,12 +87,13 @@
 	return strings.TrimSpace(f.Test.String()) + ": " + string(f.Kind)
 }
 
-// Result is what a run comes to.
+// Result is the result of checking a run.
 type Result struct {
-	// PassedOver are the listed tests that failed or did not end, in the list's
-	// order; the latter also make a fault.
+	// PassedOver are the listed tests that failed or did not finish, in the order of the
+	// list. A test that did not finish is also a fault.
 	PassedOver []Entry
-	// Faults are in the order of packages and tests.
+	// Faults are the faults of listed tests in the order of the list, then those of packages
+	// by name and their tests in the order in which they started, then those of the run.
 	Faults []Fault
 }
 
@@ -105,32 +107,33 @@
 	Status      int
 }
 
-// judge gathers a run.
+// judge collects the events of a run.
 type judge struct {
 	listed   map[Test]bool
 	packages map[string]*packageRun
 	out      io.Writer
-	ended    bool
-	status   int
+	// ended is true after the ActionEnd event, which has the exit status.
+	ended      bool
+	exitStatus int
 }
 
-// Judge reads the events of a run of go test -json, closed by an ActionEnd, and
-// judges it against a list. It writes what go test prints without -json, a
-// package at a time. Its error is of reading only, and wraps ErrEvent where a
-// line is none.
+// Judge reads the events of a run of go test -json, followed by an ActionEnd event, and
+// checks the run against a list. It writes the output that go test prints without -json,
+// one package at a time. It returns an error only if the events can't be read; the error
+// wraps ErrEvent if a line is not an event.
 func Judge(list []Entry, events io.Reader, out io.Writer) (Result, error) {
 	j := &judge{listed: map[Test]bool{}, packages: map[string]*packageRun{}, out: out}
 	for _, e := range list {
 		j.listed[e.Test] = true
 	}
 	lines := bufio.NewScanner(events)
-	lines.Buffer(nil, lineLimit)
+	lines.Buffer(nil, maxEventBytes)
 	for lines.Scan() {
 		var e event
 		if err := json.Unmarshal(lines.Bytes(), &e); err != nil || e.Action == "" {
 			return Result{}, fmt.Errorf("%w: %q", ErrEvent, lines.Text())
 		}
-		j.add(e)
+		j.addEvent(e)
 	}
 	if err := lines.Err(); err != nil {
 		return Result{}, fmt.Errorf("events: %w", err)
@@ -138,10 +141,10 @@
 	return j.result(list), nil
 }
 
-func (j *judge) add(e event) {
+func (j *judge) addEvent(e event) {
 	switch {
 	case e.Action == ActionEnd:
-		j.ended, j.status = true, e.Status
+		j.ended, j.exitStatus = true, e.Status
 	case e.Action == "build-output":
 		_, _ = io.WriteString(j.out, e.Output)
 	case e.Package != "":
@@ -150,7 +153,7 @@
 			p = newPackageRun()
 			j.packages[e.Package] = p
 		}
-		p.add(e)
+		p.addEvent(e)
 		if p.result != "" {
 			p.print(j.out)
 		}
@@ -160,7 +163,7 @@
 func (j *judge) result(list []Entry) Result {
 	var r Result
 	for _, e := range list {
-		if kind := j.listedKind(e.Test); kind != "" {
+		if kind := j.checkListed(e.Test); kind != "" {
 			r.Faults = append(r.Faults, Fault{Kind: kind, Test: e.Test})
 			continue
 		}
@@ -171,23 +174,23 @@
 		names = append(names, name)
 	}
 	slices.Sort(names)
-	want := statusPassed
+	wantStatus := statusPassed
 	for _, name := range names {
 		p := j.packages[name]
 		r.Faults = append(r.Faults, p.faults(name, j.listed)...)
 		if p.result == actionFail {
-			want = statusFailed
+			wantStatus = statusFailed
 		}
 	}
-	if !j.ended || j.status != want || len(names) == 0 {
+	if !j.ended || j.exitStatus != wantStatus || len(names) == 0 {
 		r.Faults = append(r.Faults, Fault{Kind: RunBroken})
 	}
 	return r
 }
 
-// listedKind is what is wrong with a listed test, or "" where it failed or did
-// not end.
-func (j *judge) listedKind(t Test) Kind {
+// checkListed returns the kind of fault of a listed test, or "" if the test failed or did
+// not finish.
+func (j *judge) checkListed(t Test) Kind {
 	p := j.packages[t.Package]
 	if p == nil || p.tests[t.Name] == nil {
 		return ListedNotRun
@@ -199,7 +202,7 @@
 	case slices.Contains(results, actionSkip):
 		return ListedSkipped
 	case slices.Contains(results, actionFail), p.tests[t.Name].unfinished():
-		// One that did not end is among its package's faults.
+		// The faults of the package include a test that did not finish.
 		return ""
 	}
 	return ListedNotRun
--- a/internal/knownred/list.go
+++ b/internal/knownred/list.go
@@ -12,16 +12,16 @@
 	"strings"
 )
 
-// Most is how many tests a list may have.
+// Most is the maximum number of tests in a list.
 const Most = 3
 
-// fields is how many a line has: the test, its cause, its issue.
-const fields = 3
+// fieldsPerLine is the number of fields of a line: the test, its cause and its issue.
+const fieldsPerLine = 3
 
-// topLevel is the name of a test, a fuzz target or an example, without subtests.
-var topLevel = regexp.MustCompile(`^(Test|Fuzz|Example)[\pL\pN_]*$`)
+// topLevelName matches the name of a test, a fuzz target or an example, but not of a subtest.
+var topLevelName = regexp.MustCompile(`^(Test|Fuzz|Example)[\pL\pN_]*$`)
 
-// Errors of a list.
+// Errors of Parse.
 var (
 	ErrLine  = errors.New("want PACKAGE TEST | CAUSE | ISSUE")
 	ErrTwice = errors.New("listed twice")
@@ -35,19 +35,19 @@
 	Name    string
 }
 
-// String is the test as a list writes it.
+// String returns the test as a list writes it: the package, a space and the name.
 func (t Test) String() string {
 	return t.Package + " " + t.Name
 }
 
-// Entry is a line of a list; no field is empty.
+// Entry is one line of a list. Parse returns no entry with an empty field.
 type Entry struct {
 	Test  Test
 	Cause string
 	Issue string
 }
 
-// Parse reads a list. Its errors wrap ErrLine, ErrTwice or ErrMany.
+// Parse reads a list. For a bad list the error wraps ErrLine, ErrTwice or ErrMany.
 func Parse(r io.Reader) ([]Entry, error) {
 	var list []Entry
 	seen := map[Test]bool{}
@@ -78,11 +78,11 @@
 
 func parseLine(line string) (Entry, error) {
 	parts := strings.Split(line, "|")
-	if len(parts) != fields {
+	if len(parts) != fieldsPerLine {
 		return Entry{}, ErrLine
 	}
 	names := strings.Fields(parts[0])
-	if len(names) != 2 || !topLevel.MatchString(names[1]) {
+	if len(names) != 2 || !topLevelName.MatchString(names[1]) {
 		return Entry{}, ErrLine
 	}
 	e := Entry{
--- a/internal/knownred/list_test.go
+++ b/internal/knownred/list_test.go
@@ -12,7 +12,7 @@
 	"github.com/wingvale/wingvale/internal/knownred"
 )
 
-func TestAListHasTestCauseAndIssue(t *testing.T) {
+func TestParseReadsTestCauseAndIssue(t *testing.T) {
 	list, err := knownred.Parse(strings.NewReader("# known\n\n  a/b TestOne | it is slow | #7 \na/b FuzzTwo|x|y\n"))
 	assert.NilError(t, err)
 	assert.DeepEqual(t, list, []knownred.Entry{
@@ -21,13 +21,13 @@
 	})
 }
 
-func TestAnEmptyListListsNothing(t *testing.T) {
+func TestParseEmptyList(t *testing.T) {
 	list, err := knownred.Parse(strings.NewReader(""))
 	assert.NilError(t, err)
 	assert.Equal(t, len(list), 0)
 }
 
-func TestABadListIsRefused(t *testing.T) {
+func TestParseRejectsBadList(t *testing.T) {
 	cases := []struct {
 		name string
 		text string
--- a/internal/knownred/package.go
+++ b/internal/knownred/package.go
@@ -18,37 +18,39 @@
 	actionSkip   = "skip"
 )
 
-// testRun is a top-level test with its subtests.
+// testRun is the run of a top-level test with its subtests.
 type testRun struct {
 	name string
-	// results are those of the test itself; a test that runs several times has
-	// as many.
+	// results are the results of the test itself, without its subtests. A test that
+	// runs several times has several results.
 	results []string
-	// open are the names begun and not ended, with how many times.
-	open map[string]int
-	// failed is whether it or a subtest failed.
+	// running counts the unfinished runs of the test and of each subtest by name.
+	running map[string]int
+	// failed is true if the test or a subtest failed.
 	failed bool
-	// reported is whether its report line came; what follows is not its own.
+	// reported is true after the report line of the test. Output that follows is not
+	// the output of the test itself.
 	reported bool
-	// races is how many data races were reported while it ran, raceFailed
-	// whether the testing package gave it one of them.
+	// races is the number of data races reported in the output of the test. raceFailed is
+	// true if the testing package failed the test because of one of them.
 	races      int
 	raceFailed bool
 	output     []string
 }
 
-// packageRun is a package's part of a run.
+// packageRun is the part of a run that belongs to one package.
 type packageRun struct {
 	tests map[string]*testRun
-	order []*testRun
-	// result is "" until the package ended.
+	// testOrder has the tests in the order in which they started.
+	testOrder []*testRun
+	// result is the action of the last event, or "" until the package has finished.
 	result      string
 	failedBuild bool
-	// ended is whether the testing package said that all tests had their turn
-	// and some failed; after is whether something else was said later.
-	ended bool
-	after bool
-	// races is whether a data race was reported outside a test's run.
+	// testsDone is true after the line by which the testing package reports that all
+	// tests have run and some failed. outputAfterTests is true if another line followed.
+	testsDone        bool
+	outputAfterTests bool
+	// races is true if a data race was reported outside the run of a test.
 	races  bool
 	output []string
 }
@@ -57,10 +59,10 @@
 	return &packageRun{tests: map[string]*testRun{}}
 }
 
-func (p *packageRun) add(e event) {
+func (p *packageRun) addEvent(e event) {
 	if e.Test != "" {
 		top, _, _ := strings.Cut(e.Test, "/")
-		p.addTest(p.test(top), e)
+		p.addTestEvent(p.testRunOf(top), e)
 		return
 	}
 	switch e.Action {
@@ -78,34 +80,35 @@
 		p.races = true
 	}
 	switch {
-	case e.Output == endedText:
-		p.ended = true
-	case p.ended && !strings.HasPrefix(e.Output, "FAIL\t"+e.Package+"\t"):
-		p.after = true
+	case e.Output == failedText:
+		p.testsDone = true
+	case p.testsDone && !strings.HasPrefix(e.Output, "FAIL\t"+e.Package+"\t"):
+		p.outputAfterTests = true
 	}
 }
 
-func (p *packageRun) test(top string) *testRun {
+// testRunOf returns the run of a top-level test, and creates it at its first event.
+func (p *packageRun) testRunOf(top string) *testRun {
 	t := p.tests[top]
 	if t == nil {
-		t = &testRun{name: top, open: map[string]int{}}
+		t = &testRun{name: top, running: map[string]int{}}
 		p.tests[top] = t
-		p.order = append(p.order, t)
+		p.testOrder = append(p.testOrder, t)
 	}
 	return t
 }
 
-func (p *packageRun) addTest(t *testRun, e event) {
+func (p *packageRun) addTestEvent(t *testRun, e event) {
 	switch e.Action {
 	case actionRun:
-		t.open[e.Test]++
+		t.running[e.Test]++
 		if e.Test == t.name {
 			t.reported = false
 		}
 	case actionOutput:
 		p.addTestOutput(t, e)
 	case actionPass, actionFail, actionSkip:
-		t.open[e.Test]--
+		t.running[e.Test]--
 		t.failed = t.failed || e.Action == actionFail
 		if e.Test == t.name {
 			t.results = append(t.results, e.Action)
@@ -114,13 +117,13 @@
 }
 
 func (p *packageRun) addTestOutput(t *testRun, e event) {
-	if !strings.HasPrefix(e.Output, stepPrefix) {
+	if !strings.HasPrefix(e.Output, progressPrefix) {
 		t.output = append(t.output, e.Output)
 	}
-	if strings.Contains(e.Output, raceFailed) {
+	if strings.Contains(e.Output, raceFailureText) {
 		t.raceFailed = true
 	}
-	// A race after the report line comes from what a test left running.
+	// A race after the report line comes from goroutines that the test left running.
 	if strings.Contains(e.Output, raceText) {
 		t.races++
 		p.races = p.races || t.reported
@@ -130,6 +133,7 @@
 	}
 }
 
+// isReport reports whether line is the report line of the test with the given name.
 func isReport(line, name string) bool {
 	rest, ok := strings.CutPrefix(line, reportPrefix)
 	if !ok {
@@ -139,44 +143,44 @@
 	return strings.HasPrefix(rest, name+" (")
 }
 
-// faults are the package's, the listed tests' own aside.
+// faults returns the faults of the package. Failures of listed tests are not faults.
 func (p *packageRun) faults(name string, listed map[Test]bool) []Fault {
 	var list []Fault
-	of := func(k Kind, test string) {
+	addFault := func(k Kind, test string) {
 		list = append(list, Fault{Kind: k, Test: Test{Package: name, Name: test}})
 	}
 	anyFailed := false
 	races := p.races
-	for _, t := range p.order {
+	for _, t := range p.testOrder {
 		isListed := listed[Test{Package: name, Name: t.name}]
 		anyFailed = anyFailed || t.failed
 		if t.failed && !isListed {
-			of(TestFailed, t.name)
+			addFault(TestFailed, t.name)
 		}
 		if t.unfinished() {
-			of(TestUnfinished, t.name)
+			addFault(TestUnfinished, t.name)
 		}
 		races = races || t.races > 0 && (!isListed || !t.raceFailed)
 	}
 	if races {
-		of(PackageRace, "")
+		addFault(PackageRace, "")
 	}
 	switch {
 	case p.result == "":
-		of(PackageUnfinished, "")
+		addFault(PackageUnfinished, "")
 	case p.result != actionFail:
 	case p.failedBuild:
-		of(PackageNotBuilt, "")
-	case !p.ended:
-		of(PackageStopped, "")
-	case p.after || !anyFailed:
-		of(PackageFailed, "")
+		addFault(PackageNotBuilt, "")
+	case !p.testsDone:
+		addFault(PackageStopped, "")
+	case p.outputAfterTests || !anyFailed:
+		addFault(PackageFailed, "")
 	}
 	return list
 }
 
 func (t *testRun) unfinished() bool {
-	for _, n := range t.open {
+	for _, n := range t.running {
 		if n != 0 {
 			return true
 		}
@@ -184,29 +188,29 @@
 	return false
 }
 
-// print writes what go test prints of the package without -json.
+// print writes the output that go test prints for the package without -json.
 func (p *packageRun) print(out io.Writer) {
 	lines := p.output
 	if p.result != actionFail {
-		lines = slices.DeleteFunc(slices.Clone(lines), notClosing)
+		lines = slices.DeleteFunc(slices.Clone(lines), isOmittedOnPass)
 	}
 	if p.result == actionFail {
-		for _, t := range p.order {
+		for _, t := range p.testOrder {
 			if t.failed || t.unfinished() {
-				writeAll(out, t.output)
+				writeLines(out, t.output)
 			}
 		}
 	}
-	writeAll(out, lines)
+	writeLines(out, lines)
 }
 
-// notClosing is whether a line of a package that passes is one that go test
-// leaves out.
-func notClosing(line string) bool {
+// isOmittedOnPass reports whether go test without -json omits the line for a package that
+// passes.
+func isOmittedOnPass(line string) bool {
 	return !strings.HasPrefix(line, "ok  \t") && !strings.HasPrefix(line, "?   \t")
 }
 
-func writeAll(out io.Writer, lines []string) {
+func writeLines(out io.Writer, lines []string) {
 	for _, l := range lines {
 		_, _ = io.WriteString(out, l)
 	}
