--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The Wingvale Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package load offers requests at a given rate, whether or not the system
-// keeps up, and reports how many were answered whole and in time and what each
-// stage cost.
+// Package load is an open-loop load generator. It sends requests at a given rate,
+// whether or not the system keeps up, and reports how many were answered
+// completely and in time, and what each stage cost.
 package load
 
 import (
@@ -24,22 +24,22 @@
 	"github.com/wingvale/wingvale/verdict"
 )
 
-// Caller runs one request; client.Client is one.
+// Caller runs one request and returns its answer. It is implemented by client.Client.
 type Caller interface {
 	Do(ctx context.Context, spec request.Spec) (client.Answer, error)
 }
 
-// Source is one stream of like requests.
+// Source describes a stream of similar requests.
 type Source struct {
-	// Name stands in the report.
+	// Name identifies the source in the report.
 	Name string
 	// Spec returns the n-th request.
 	Spec func(n int) request.Spec
-	// Expect returns the text that must be answered; nil checks nothing.
+	// Expect returns the expected text of the answer. If nil, the text is not checked.
 	Expect func(spec request.Spec) string
-	// Rate returns the requests a second at a time after the start.
-	Rate func(at time.Duration) float64
-	// Deadline is what counts as in time.
+	// Rate returns the requests per second at a given time since the start of the run.
+	Rate func(elapsed time.Duration) float64
+	// Deadline is the latency up to which an answer counts as in time.
 	Deadline time.Duration
 }
 
@@ -47,86 +47,95 @@
 type Options struct {
 	Caller  Caller
 	Sources []Source
-	For     time.Duration
-	Random  *rand.Rand
-	// Progress is told once a second, if set.
-	Progress func(at time.Duration, r *Report)
+	// For is how long requests are sent.
+	For time.Duration
+	// Random seeds the arrival times of the sources.
+	Random *rand.Rand
+	// Progress is called once per second with the time since the start, if set.
+	Progress func(elapsed time.Duration, r *Report)
 }
 
-// Steady returns a constant rate.
+// Steady returns a Rate function with a constant rate.
 func Steady(rate float64) func(time.Duration) float64 {
 	return func(time.Duration) float64 { return rate }
 }
 
-// Stage is what one stage cost.
+// Stage is the cost of one stage.
 type Stage struct {
+	// Calls is the number of calls to backend servers, with all attempts.
 	Calls int `json:"calls"`
-	// Work is all time that backend servers worked, and Wasted the part spent
-	// on requests that were not answered in time.
+	// Work is the total time that backend servers worked. Wasted is the part of it
+	// for requests that were not answered correctly and in time.
 	Work   time.Duration `json:"work_ns"`
 	Wasted time.Duration `json:"wasted_ns"`
 }
 
-// Result is what one source got.
+// Result counts the requests of one source by their outcome.
 type Result struct {
+	// Offered is the number of requests sent that have ended.
 	Offered int `json:"offered"`
-	// Attained were answered whole and in time, Late whole but late.
+	// Attained counts complete answers in time, Late complete answers after the deadline.
 	Attained int `json:"attained"`
 	Late     int `json:"late"`
-	// Wrong answers differ from what was expected.
-	Wrong    int            `json:"wrong"`
-	Resumed  int            `json:"resumed"`
+	// Wrong counts answers whose text differs from the expected one.
+	Wrong int `json:"wrong"`
+	// Resumed counts how often an answer was interrupted and resumed.
+	Resumed int `json:"resumed"`
+	// Failures counts failed requests by verdict and reason.
 	Failures map[string]int `json:"failures"`
-	latency  *hdrhistogram.Histogram
-	first    *hdrhistogram.Histogram
-	// Seconds counts offered and attained by the second of the offer.
+	// latency and firstText hold the time to the whole answer and to its first text, in
+	// microseconds.
+	latency   *hdrhistogram.Histogram
+	firstText *hdrhistogram.Histogram
+	// Seconds counts offered and attained requests by the second in which they were sent.
 	Seconds []Second `json:"-"`
 }
 
-// Second counts the requests offered in one second.
+// Second counts the requests sent in one second.
 type Second struct {
 	Offered  int
 	Attained int
 }
 
-// Report is the outcome of a run. It is safe for concurrent use while the run
-// goes on.
+// Report is the result of a run. Its methods are safe for concurrent use during the run.
 type Report struct {
 	mu sync.Mutex
-	// Sources and Stages are by name.
+	// Sources and Stages are keyed by name.
 	Sources map[string]*Result `json:"sources"`
 	Stages  map[string]*Stage  `json:"stages"`
 }
 
 const (
+	// maxLatency is the largest latency that the histograms record, in microseconds.
 	maxLatency = int64(time.Hour / time.Microsecond)
-	digits     = 3
+	// significantDigits is the precision of the histograms, in decimal digits.
+	significantDigits = 3
 )
 
-// Run offers the sources' requests and returns when all have ended.
+// Run sends the requests of all sources and returns when all requests have ended.
 func Run(ctx context.Context, o Options) *Report {
 	report := &Report{Sources: make(map[string]*Result), Stages: make(map[string]*Stage)}
-	var all sync.WaitGroup
+	var pending sync.WaitGroup
 	start := time.Now()
 	for _, s := range o.Sources {
 		report.Sources[s.Name] = &Result{
-			Failures: make(map[string]int),
-			latency:  hdrhistogram.New(1, maxLatency, digits),
-			first:    hdrhistogram.New(1, maxLatency, digits),
+			Failures:  make(map[string]int),
+			latency:   hdrhistogram.New(1, maxLatency, significantDigits),
+			firstText: hdrhistogram.New(1, maxLatency, significantDigits),
 		}
 		random := rand.New(rand.NewPCG(o.Random.Uint64(), o.Random.Uint64()))
-		all.Go(func() { offer(ctx, o, s, random, start, report, &all) })
+		pending.Go(func() { sendRequests(ctx, o, s, random, start, report, &pending) })
 	}
 	if o.Progress != nil {
 		progressCtx, stop := context.WithCancel(ctx)
 		defer stop()
-		go progress(progressCtx, o, start, report)
+		go reportProgress(progressCtx, o, start, report)
 	}
-	all.Wait()
+	pending.Wait()
 	return report
 }
 
-func progress(ctx context.Context, o Options, start time.Time, report *Report) {
+func reportProgress(ctx context.Context, o Options, start time.Time, report *Report) {
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
 	for {
@@ -139,19 +148,21 @@
 	}
 }
 
-// idle is how soon a source with rate 0 looks again.
-const idle = 10 * time.Millisecond
+// idleInterval is how often the rate of a source is read again while it is 0.
+const idleInterval = 10 * time.Millisecond
 
-func offer(ctx context.Context, o Options, s Source, random *rand.Rand, start time.Time, report *Report, all *sync.WaitGroup) {
+// sendRequests sends the requests of one source with exponentially distributed gaps, without
+// waiting for answers. It adds each request to pending.
+func sendRequests(ctx context.Context, o Options, s Source, random *rand.Rand, start time.Time, report *Report, pending *sync.WaitGroup) {
 	next := start
 	for n := 0; ; {
-		at := next.Sub(start)
-		if at >= o.For || ctx.Err() != nil {
+		elapsed := next.Sub(start)
+		if elapsed >= o.For || ctx.Err() != nil {
 			return
 		}
-		rate := s.Rate(at)
+		rate := s.Rate(elapsed)
 		if rate <= 0 {
-			next = next.Add(idle)
+			next = next.Add(idleInterval)
 			continue
 		}
 		timer := time.NewTimer(time.Until(next))
@@ -163,19 +174,20 @@
 		}
 		spec := s.Spec(n)
 		n++
-		all.Go(func() { one(ctx, o, s, spec, at, report) })
+		pending.Go(func() { runRequest(ctx, o, s, spec, elapsed, report) })
 		next = next.Add(time.Duration(random.ExpFloat64() / rate * float64(time.Second)))
 	}
 }
 
-func one(ctx context.Context, o Options, s Source, spec request.Spec, at time.Duration, report *Report) {
-	begin := time.Now()
+// runRequest runs one request, which was due at elapsed since the start, and counts its outcome.
+func runRequest(ctx context.Context, o Options, s Source, spec request.Spec, elapsed time.Duration, report *Report) {
+	startedAt := time.Now()
 	answer, err := o.Caller.Do(ctx, spec)
-	took := time.Since(begin)
+	took := time.Since(startedAt)
 	report.mu.Lock()
 	defer report.mu.Unlock()
 	r := report.Sources[s.Name]
-	second := r.second(at)
+	second := r.secondAt(elapsed)
 	r.Offered++
 	second.Offered++
 	r.Resumed += answer.Resumed
@@ -195,20 +207,22 @@
 	}
 	if err == nil {
 		_ = r.latency.RecordValue(took.Microseconds())
-		_ = r.first.RecordValue(answer.First.Microseconds())
+		_ = r.firstText.RecordValue(answer.First.Microseconds())
 	}
-	report.costs(answer.Costs, inTime)
+	report.addCosts(answer.Costs, inTime)
 }
 
-func (r *Result) second(at time.Duration) *Second {
-	i := int(at / time.Second)
+// secondAt returns the counts of the second that contains elapsed, and adds them if needed.
+func (r *Result) secondAt(elapsed time.Duration) *Second {
+	i := int(elapsed / time.Second)
 	for len(r.Seconds) <= i {
 		r.Seconds = append(r.Seconds, Second{})
 	}
 	return &r.Seconds[i]
 }
 
-func (r *Report) costs(costs []request.StageCost, inTime bool) {
+// addCosts adds the costs of one request. The mutex must be held.
+func (r *Report) addCosts(costs []request.StageCost, inTime bool) {
 	for _, c := range costs {
 		s := r.Stages[c.Stage]
 		if s == nil {
@@ -223,7 +237,8 @@
 	}
 }
 
-// Attainment returns the share of offered requests answered whole and in time.
+// Attainment returns the share of offered requests that were answered completely and in time.
+// It is 0 if no request was offered.
 func (r *Result) Attainment() float64 {
 	if r.Offered == 0 {
 		return 0
@@ -231,17 +246,17 @@
 	return float64(r.Attained) / float64(r.Offered)
 }
 
-// Latency returns a quantile, 0 to 100, of the time to the whole answer.
-func (r *Result) Latency(quantile float64) time.Duration {
-	return time.Duration(r.latency.ValueAtQuantile(quantile)) * time.Microsecond
+// Latency returns a percentile, from 0 to 100, of the time to the whole answer.
+func (r *Result) Latency(percentile float64) time.Duration {
+	return time.Duration(r.latency.ValueAtQuantile(percentile)) * time.Microsecond
 }
 
-// First returns a quantile of the time to the first text.
-func (r *Result) First(quantile float64) time.Duration {
-	return time.Duration(r.first.ValueAtQuantile(quantile)) * time.Microsecond
+// First returns a percentile, from 0 to 100, of the time to the first text.
+func (r *Result) First(percentile float64) time.Duration {
+	return time.Duration(r.firstText.ValueAtQuantile(percentile)) * time.Microsecond
 }
 
-// Totals returns all offered and all attained.
+// Totals returns the numbers of offered and attained requests over all sources.
 func (r *Report) Totals() (offered, attained int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -252,7 +267,7 @@
 	return offered, attained
 }
 
-// Wrong returns how many answers were not the expected ones.
+// Wrong returns the number of answers over all sources whose text was not the expected one.
 func (r *Report) Wrong() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -263,8 +278,8 @@
 	return wrong
 }
 
-// Waste returns the share of all stage work spent on requests that were not
-// answered in time.
+// Waste returns the share of the work of all stages that was for requests that were not
+// answered correctly and in time.
 func (r *Report) Waste() float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -298,6 +313,7 @@
 	_ = t.Flush()
 }
 
+// round rounds a duration for printing.
 func round(d time.Duration) time.Duration {
 	return d.Round(10 * time.Microsecond)
 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -20,11 +20,12 @@
 	"github.com/wingvale/wingvale/verdict"
 )
 
-// caller answers each fourth request in time, late, wrongly and not at all.
-type caller struct{ calls atomic.Int64 }
+// cyclicCaller answers requests in a cycle of four: late, with a wrong text, with a refusal,
+// and correctly in time.
+type cyclicCaller struct{ calls atomic.Int64 }
 
 // Do answers one request.
-func (c *caller) Do(_ context.Context, spec request.Spec) (client.Answer, error) {
+func (c *cyclicCaller) Do(_ context.Context, spec request.Spec) (client.Answer, error) {
 	answer := client.Answer{Text: "answer to " + spec.Input, Costs: []request.StageCost{{Stage: "encode", Attempts: 1}}}
 	switch c.calls.Add(1) % 4 {
 	case 0:
@@ -39,9 +40,9 @@
 	return answer, nil
 }
 
-func TestEveryRequestIsCountedOnce(t *testing.T) {
+func TestRunCountsEachRequestOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := &caller{}
+		c := &cyclicCaller{}
 		report := load.Run(t.Context(), load.Options{
 			Caller: c,
 			Sources: []load.Source{{
@@ -56,11 +57,11 @@
 		})
 		r := report.Sources["note"]
 		assert.Equal(t, r.Offered, int(c.calls.Load()))
-		assert.Assert(t, r.Offered > 800 && r.Offered < 1200, "%d at 100 a second for 10 s", r.Offered)
+		assert.Assert(t, r.Offered > 800 && r.Offered < 1200, "offered %d requests at 100 per second for 10 s", r.Offered)
 		failed := r.Failures["not_run/overload"]
 		assert.Equal(t, r.Attained+r.Late+r.Wrong+failed, r.Offered)
 		for name, count := range map[string]int{"in time": r.Attained, "late": r.Late, "wrong": r.Wrong, "refused": failed} {
-			assert.Assert(t, count*4 >= r.Offered-3 && count*4 <= r.Offered+3, "%s: %d of %d", name, count, r.Offered)
+			assert.Assert(t, count*4 >= r.Offered-3 && count*4 <= r.Offered+3, "%s: %d of %d requests, want a quarter", name, count, r.Offered)
 		}
 		assert.Equal(t, report.Wrong(), r.Wrong)
 		offered, attained := report.Totals()
