--- a/internal/sites/sites.go
+++ b/internal/sites/sites.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The Wingvale Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package sites holds two full examples, one for each customer: what they
-// publish, and how many of which backend servers they have. Stand-ins, the
-// demo, examples and tests are made from them.
+// Package sites holds two complete example sites, one for each customer: their
+// published configuration values and their pools of backend servers. The
+// stand-ins, the demo, the examples and the tests use them.
 package sites
 
 import (
@@ -20,29 +20,29 @@
 //go:embed arhiva-climei farbwerk
 var files embed.FS
 
-// Pool is one pool of backend servers of a site.
+// Pool describes one pool of backend servers of a site.
 type Pool struct {
 	Name string
 	Role published.Role
-	// Runners is how many servers the pool has.
+	// Runners is the number of servers in the pool.
 	Runners int
-	// Stage names what a stage pool does: encode, retrieve or rerank.
+	// Stage is the stage that a stage pool runs: encode, retrieve or rerank.
 	Stage string
-	// Slots is how many calls one server works on at once.
+	// Slots is the number of calls that one server processes concurrently.
 	Slots int
 }
 
-// Site is one customer's installation.
+// Site describes the installation of one customer.
 type Site struct {
 	Name string
-	// Zones are its availability zones, the halls.
+	// Zones are the availability zones of the site, one per data hall.
 	Zones []string
 	Pools []Pool
-	// Documents is the data set that its retrievers search.
+	// Documents is the data set that the retrievers of the site search.
 	Documents []standin.Document
-	// Questions are inputs for trying it.
+	// Questions are example inputs for requests.
 	Questions []string
-	// Published replaces the site's own values, if set.
+	// Published replaces the embedded values of the site, if set.
 	Published map[string]string
 }
 
@@ -53,7 +53,7 @@
 	StageRerank   = "rerank"
 )
 
-// ArhivaClimei is the weather archive in Cluj.
+// ArhivaClimei returns the site of a weather archive in Cluj.
 func ArhivaClimei() Site {
 	return Site{
 		Name:  "arhiva-climei",
@@ -78,7 +78,7 @@
 	}
 }
 
-// Farbwerk is the colour-mixing assistant in Switzerland.
+// Farbwerk returns the site of a colour-mixing assistant in Switzerland.
 func Farbwerk() Site {
 	return Site{
 		Name:  "farbwerk",
@@ -103,17 +103,17 @@
 	}
 }
 
-// ByName returns the site of a name.
+// ByName returns the site with the given name, or an error if there is none.
 func ByName(name string) (Site, error) {
 	for _, s := range []Site{ArhivaClimei(), Farbwerk()} {
 		if s.Name == name {
 			return s, nil
 		}
 	}
-	return Site{}, fmt.Errorf("sites: no site %q; there are arhiva-climei and farbwerk", name)
+	return Site{}, fmt.Errorf("sites: unknown site %q; known sites are arhiva-climei and farbwerk", name)
 }
 
-// Values returns what the site publishes, by key.
+// Values returns the published values of the site by key.
 func (s Site) Values() (map[string]string, error) {
 	if s.Published != nil {
 		return s.Published, nil
@@ -121,14 +121,15 @@
 	return Read(files, s.Name)
 }
 
-// Read returns the values below a folder: templates/NAME.json and so on.
-func Read(from fs.FS, folder string) (map[string]string, error) {
+// Read returns the values in the JSON files below a folder. The key of a value is the path of
+// its file within the folder without the extension, such as templates/NAME.
+func Read(fsys fs.FS, folder string) (map[string]string, error) {
 	values := make(map[string]string)
-	err := fs.WalkDir(from, folder, func(name string, entry fs.DirEntry, err error) error {
+	err := fs.WalkDir(fsys, folder, func(name string, entry fs.DirEntry, err error) error {
 		if err != nil || entry.IsDir() || path.Ext(name) != ".json" {
 			return err
 		}
-		data, err := fs.ReadFile(from, name)
+		data, err := fs.ReadFile(fsys, name)
 		if err != nil {
 			return err
 		}
--- a/internal/sites/sites_test.go
+++ b/internal/sites/sites_test.go
@@ -12,7 +12,7 @@
 	"github.com/wingvale/wingvale/internal/sites"
 )
 
-func TestBothSitesPublishWhatTheyAreShownWith(t *testing.T) {
+func TestSitesHaveValuesPoolsAndQuestions(t *testing.T) {
 	for _, s := range []sites.Site{sites.ArhivaClimei(), sites.Farbwerk()} {
 		named, err := sites.ByName(s.Name)
 		assert.NilError(t, err)
@@ -26,7 +26,7 @@
 	assert.ErrorContains(t, err, "nowhere")
 }
 
-func TestValuesAreReadFromFilesBelowAFolder(t *testing.T) {
+func TestReadReturnsValuesBelowFolder(t *testing.T) {
 	files := fstest.MapFS{
 		"site/templates/a.json": {Data: []byte("1")}, "site/notes.txt": {Data: []byte("x")}, "other/b.json": {Data: []byte("2")},
 	}
