--- a/cmd/wingvale/main.go
+++ b/cmd/wingvale/main.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The Wingvale Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Wingvale is the command line of wingvale, for operators and callers.
+// Wingvale is the command-line tool of wingvale for operators and callers.
 package main
 
 import (
--- a/cmd/wingvaled/main.go
+++ b/cmd/wingvaled/main.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The Wingvale Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Wingvaled is the daemon of wingvale, the same on every entry host.
+// Wingvaled is the wingvale daemon. The same program runs on every entry host.
 package main
 
 import (
@@ -18,13 +18,15 @@
 	"github.com/wingvale/wingvale/platform"
 )
 
+// Exit codes of the daemon.
 const (
 	exitFailed   = 1
 	exitSettings = 2
 )
 
+// arguments declares the commands and flags that kong parses.
 type arguments struct {
-	Run      runCommand      `cmd:"" default:"withargs" help:"Run one entry host with its own interface."`
+	Run      runCommand      `cmd:"" default:"withargs" help:"Run one entry host with the interface of wingvale."`
 	Platform platformCommand `cmd:"" help:"Run one entry host on the users' platform."`
 }
 
@@ -33,14 +35,14 @@
 }
 
 type platformCommand struct {
-	Settings    string        `arg:"" optional:"" type:"path" help:"The node's settings, an INI file; by default where the platform puts them."`
-	ClockOffset time.Duration `help:"Added to the time of day that the node reads; for tests of clocks that are wrong."`
+	Settings    string        `arg:"" optional:"" type:"path" help:"The node's settings, an INI file; by default at the path that the platform gives."`
+	ClockOffset time.Duration `help:"Offset added to the node's wall clock; for tests of clock skew."`
 }
 
-// settingsError is what is wrong with settings.
+// settingsError marks an error in the settings, which has its own exit code.
 type settingsError struct{ error }
 
-// Run runs the daemon.
+// Run runs the daemon until it is stopped.
 func (c *runCommand) Run() error {
 	s, err := settings.Load(c.Settings)
 	if err != nil {
@@ -49,7 +51,7 @@
 	return daemon.Run(s, os.Stderr)
 }
 
-// Run runs the daemon on the platform.
+// Run runs the daemon on the users' platform until it is stopped.
 func (c *platformCommand) Run() error {
 	path := c.Settings
 	if path == "" {
@@ -74,8 +76,8 @@
 		return
 	}
 	fmt.Fprintln(os.Stderr, err)
-	var wrong settingsError
-	if errors.As(err, &wrong) {
+	var invalidSettings settingsError
+	if errors.As(err, &invalidSettings) {
 		os.Exit(exitSettings)
 	}
 	os.Exit(exitFailed)
