--- a/client/call.go
+++ b/client/call.go
@@ -23,121 +23,132 @@
 	"github.com/wingvale/wingvale/verdict"
 )
 
-// Answer is a whole answer.
+// Answer is the complete answer to a request.
 type Answer struct {
 	ID   request.ID
 	Text string
-	// Node is the one that ended the answer.
+	// Node is the node that sent the end of the answer.
 	Node    netip.AddrPort
 	Attempt int
-	// Costs has what each stage took.
+	// Costs has the cost of each stage.
 	Costs []request.StageCost
-	// Resumed counts how often the answer was cut off and taken up again.
+	// Resumed is the number of times that the answer was interrupted and resumed.
 	Resumed int
-	// First is how long the first text took.
+	// First is the time from the call to the first text.
 	First time.Duration
 }
 
-// Observer is told of the text as it comes. After a restart, what was told
-// before is void.
+// Observer receives the text of an answer as it arrives. Nil functions are not called.
 type Observer struct {
-	Text    func(text string)
+	// Text is called with each piece of text.
+	Text func(text string)
+	// Restart is called when the answer starts again from the beginning. The text received
+	// before the restart has to be discarded.
 	Restart func()
 }
 
 const (
-	maxTries    = 8
-	retryPause  = 50 * time.Millisecond
-	maxEvent    = 4 << 20
-	maxTryPause = time.Second
-	// answerFor is how long a node may take to begin to answer: one that has
-	// accepted says so at once, and one that stands still says nothing.
-	answerFor = 1500 * time.Millisecond
-	// aliveFor is how long a stream may bring nothing, not even a sign that
-	// its node runs.
-	aliveFor = 4 * time.Second
+	// maxTries is the maximum number of times that a request is sent.
+	maxTries = 8
+	// retryBackoff is the pause before the first retry. It doubles with each further retry
+	// up to maxRetryBackoff.
+	retryBackoff = 50 * time.Millisecond
+	// maxEventBytes is the length of the longest event that is read.
+	maxEventBytes   = 4 << 20
+	maxRetryBackoff = time.Second
+	// responseTimeout limits the time until a node starts to respond. A node that accepts a
+	// request responds immediately, and a stalled node does not respond at all.
+	responseTimeout = 1500 * time.Millisecond
+	// idleTimeout limits the time for which a stream brings no data, not even a keep-alive,
+	// which a running node sends every second.
+	idleTimeout = 4 * time.Second
 )
 
-// Do runs one request and returns its whole answer. An error bears a verdict:
-// NotRun means that the request did not run and may be sent again.
+// Do runs one request and returns its complete answer. An error has a verdict: with
+// verdict.NotRun the request did not run and may be sent again.
 func (c *Client) Do(ctx context.Context, spec request.Spec) (Answer, error) {
 	return c.Stream(ctx, spec, Observer{})
 }
 
-// Stream is Do, with the text told as it comes.
+// Stream is like Do and also passes the text to observer as it arrives.
 func (c *Client) Stream(ctx context.Context, spec request.Spec, observer Observer) (Answer, error) {
-	call := &call{client: c, spec: spec, observer: observer, begin: time.Now(), repeatable: !spec.Unrepeatable}
+	call := &call{client: c, spec: spec, observer: observer, startedAt: time.Now(), repeatable: !spec.Unrepeatable}
 	return call.run(ctx)
 }
 
-// call is one request under way.
+// call is one request in progress.
 type call struct {
-	client   *Client
-	spec     request.Spec
-	observer Observer
-	begin    time.Time
-	id       request.ID
-	// sent says that a node may have begun under id.
-	sent bool
-	// repeatable says that another node may go on.
+	client    *Client
+	spec      request.Spec
+	observer  Observer
+	startedAt time.Time
+	id        request.ID
+	// maybeStarted is true if a node may have started the request under id.
+	maybeStarted bool
+	// repeatable is true if another node may continue the request.
 	repeatable bool
+	// checkpoint is the last checkpoint that a node sent.
 	checkpoint *request.Checkpoint
-	attempt    int
-	chunks     []string
-	first      time.Duration
-	resumed    int
-	node       netip.AddrPort
-	// costs are those of a failure.
-	costs []request.StageCost
+	// attempt is the highest attempt seen, and chunks is its text.
+	attempt int
+	chunks  []string
+	// firstTextAfter is the time from startedAt to the first text.
+	firstTextAfter time.Duration
+	resumed        int
+	// node is the node that the request was last sent to.
+	node netip.AddrPort
+	// failureCosts are the costs that a failure reported.
+	failureCosts []request.StageCost
 }
 
+// run sends the request until it is answered, retrying as shouldRetry allows.
 func (c *call) run(ctx context.Context) (Answer, error) {
 	var last error
 	for try := range maxTries {
 		if try > 0 {
-			pause(ctx, min(retryPause<<(try-1), maxTryPause))
+			sleep(ctx, min(retryBackoff<<(try-1), maxRetryBackoff))
 		}
 		if ctx.Err() != nil {
 			break
 		}
-		node, err := c.target(ctx, try)
+		node, err := c.selectNode(ctx, try)
 		if err != nil {
 			last = err
 			continue
 		}
 		done, err := c.send(ctx, node)
 		if err == nil {
-			return c.answer(*done)
+			return c.buildAnswer(*done)
 		}
 		last = err
 		if verdict.As(err).Settled {
-			// The issuer vouches for every copy that was sent.
-			c.sent = false
+			// The issuer of the id answers for every copy of the request that was sent.
+			c.maybeStarted = false
 		}
-		if !c.again(err) {
+		if !c.shouldRetry(err) {
 			break
 		}
 	}
 	if last == nil {
 		last = ctx.Err()
 	}
-	none := Answer{ID: c.id, Costs: c.costs, Resumed: c.resumed}
-	if c.sent {
-		return none, verdict.AfterSend(last)
+	partial := Answer{ID: c.id, Costs: c.failureCosts, Resumed: c.resumed}
+	if c.maybeStarted {
+		return partial, verdict.AfterSend(last)
 	}
 	if verdict.Of(last) == verdict.Unknown {
-		return none, verdict.New(verdict.NotRun, verdict.As(last).Reason, "client: nothing was sent: %w", last)
+		return partial, verdict.New(verdict.NotRun, verdict.As(last).Reason, "client: nothing was sent: %w", last)
 	}
-	return none, last
+	return partial, last
 }
 
-// target returns the node to send to. A request that may have begun goes back
-// to its issuer first, unless that one did not answer lately.
-func (c *call) target(ctx context.Context, try int) (netip.AddrPort, error) {
-	nodes, err := c.client.nodes(ctx)
-	if c.sent {
-		nodes = c.client.order(slices.Concat([]netip.AddrPort{c.id.Issuer}, nodes))
-		if c.client.isBad(nodes[0]) {
+// selectNode returns the node to send the request to. A request that may have started goes to
+// the issuer of its id first, unless the issuer is marked unavailable.
+func (c *call) selectNode(ctx context.Context, try int) (netip.AddrPort, error) {
+	nodes, err := c.client.candidateNodes(ctx)
+	if c.maybeStarted {
+		nodes = c.client.preferAvailable(slices.Concat([]netip.AddrPort{c.id.Issuer}, nodes))
+		if c.client.isUnavailable(nodes[0]) {
 			return nodes[try%len(nodes)], nil
 		}
 		return nodes[0], nil
@@ -146,7 +157,7 @@
 		return netip.AddrPort{}, err
 	}
 	for _, node := range nodes {
-		id, err := c.client.takeID(ctx, node)
+		id, err := c.client.acquireID(ctx, node)
 		if err == nil {
 			c.id = id
 			return node, nil
@@ -155,42 +166,43 @@
 	return netip.AddrPort{}, verdict.New(verdict.NotRun, verdict.ReasonConnection, "client: no node gives ids")
 }
 
-// again decides what a failure means for the next try.
-func (c *call) again(err error) bool {
+// shouldRetry reports whether to send the request again after err. It also updates which nodes
+// are unavailable, which ids are valid and how often the answer was resumed.
+func (c *call) shouldRetry(err error) bool {
 	e := verdict.As(err)
 	switch e.Reason {
 	case verdict.ReasonLeaving, verdict.ReasonNotReady:
-		c.client.markBad(c.node)
-		if c.sent {
+		c.client.markUnavailable(c.node)
+		if c.maybeStarted {
 			c.resumed++
-			c.client.markBad(c.id.Issuer)
+			c.client.markUnavailable(c.id.Issuer)
 		}
-		return c.repeatable || !c.sent
+		return c.repeatable || !c.maybeStarted
 	case verdict.ReasonConnection:
-		c.client.markBad(c.node)
+		c.client.markUnavailable(c.node)
 		c.resumed++
 		return true
 	case verdict.ReasonIssuerGone:
-		c.client.dropIDs(c.id.Issuer)
+		c.client.discardIDs(c.id.Issuer)
 		return c.repeatable
 	case verdict.ReasonIssuerUnreachable:
-		// The issuer may come back, and only it can tell.
+		// The issuer may become reachable again, and only it knows whether the request ran.
 		return true
 	case verdict.ReasonBadID, verdict.ReasonExpiredID:
-		c.client.dropIDs(c.id.Issuer)
-		return !c.sent
+		c.client.discardIDs(c.id.Issuer)
+		return !c.maybeStarted
 	default:
 		return false
 	}
 }
 
-// send posts the request under its id. A node that has begun it already goes
-// on telling its answer.
+// send posts the request under its id and reads the answer. A node that has already started
+// the request continues to send its answer.
 func (c *call) send(ctx context.Context, node netip.AddrPort) (*request.Done, error) {
 	c.node = node
 	spec := c.spec
-	if c.sent && c.repeatable && c.attempt > 0 {
-		spec.Resume = c.resume()
+	if c.maybeStarted && c.repeatable && c.attempt > 0 {
+		spec.Resume = c.resumePoint()
 	}
 	body, err := json.Marshal(spec)
 	if err != nil {
@@ -198,8 +210,8 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	silent := time.AfterFunc(answerFor, cancel)
-	defer silent.Stop()
+	idleTimer := time.AfterFunc(responseTimeout, cancel)
+	defer idleTimer.Stop()
 	target := fmt.Sprintf("http://%s/v1/requests", node)
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, target, bytes.NewReader(body))
 	if err != nil {
@@ -212,52 +224,54 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		err := refusal(response.Body)
-		c.sent = c.sent || verdict.Of(err) != verdict.NotRun
+		err := decodeRefusal(response.Body)
+		c.maybeStarted = c.maybeStarted || verdict.Of(err) != verdict.NotRun
 		return nil, err
 	}
-	c.sent = true
-	return c.read(&watched{Reader: response.Body, silent: silent})
+	c.maybeStarted = true
+	return c.readEvents(&watchedBody{Reader: response.Body, idleTimer: idleTimer})
 }
 
-// resume returns where another node may go on. Its attempt is the highest seen,
-// so that what the other node tells replaces what is held.
-func (c *call) resume() *request.Checkpoint {
-	resume := request.Checkpoint{}
+// resumePoint returns the checkpoint from which another node may continue. Its attempt is the
+// highest one seen, so that the answer of the other node replaces the text received so far.
+func (c *call) resumePoint() *request.Checkpoint {
+	latest := request.Checkpoint{}
 	if c.checkpoint != nil {
-		resume = *c.checkpoint
+		latest = *c.checkpoint
 	}
-	resume.Attempt = c.attempt
-	return &resume
+	latest.Attempt = c.attempt
+	return &latest
 }
 
-// connectionError judges a failure to get an answer: a failure to connect
-// leaves things as they are, everything else may have begun the request.
+// connectionError returns an error with the verdict for a request that got no response. A failure
+// to connect does not change whether the request may have started. After any other failure it may
+// have started.
 func (c *call) connectionError(err error) error {
 	var op *net.OpError
-	if errors.As(err, &op) && op.Op == "dial" && !c.sent {
+	if errors.As(err, &op) && op.Op == "dial" && !c.maybeStarted {
 		return verdict.New(verdict.NotRun, verdict.ReasonConnection, "client: %w", err)
 	}
-	c.sent = true
+	c.maybeStarted = true
 	return verdict.New(verdict.Unknown, verdict.ReasonConnection, "client: %w", err)
 }
 
-// watched gives a connection up on which nothing comes for aliveFor: a node that
-// runs shows so every second.
-type watched struct {
+// watchedBody is a response body that is canceled if no data arrives for idleTimeout.
+// A running node sends a keep-alive every second.
+type watchedBody struct {
 	io.Reader
-	silent *time.Timer
+	// idleTimer cancels the request when it fires.
+	idleTimer *time.Timer
 }
 
-// Read reads on and puts the time off.
-func (w *watched) Read(b []byte) (int, error) {
-	w.silent.Reset(aliveFor)
+// Read resets the timer and reads from the body.
+func (w *watchedBody) Read(b []byte) (int, error) {
+	w.idleTimer.Reset(idleTimeout)
 	return w.Reader.Read(b)
 }
 
-// read takes in the events of one connection.
-func (c *call) read(body io.Reader) (*request.Done, error) {
-	for event, err := range sse.Read(body, &sse.ReadConfig{MaxEventSize: maxEvent}) {
+// readEvents reads the events of one connection up to the end of the answer or a failure.
+func (c *call) readEvents(body io.Reader) (*request.Done, error) {
+	for event, err := range sse.Read(body, &sse.ReadConfig{MaxEventSize: maxEventBytes}) {
 		if err != nil {
 			return nil, verdict.New(verdict.Unknown, verdict.ReasonConnection, "client: %w", err)
 		}
@@ -267,15 +281,15 @@
 		}
 		switch e.Type {
 		case request.EventAccepted:
-			c.accepted(*e.Accepted)
+			c.handleAccepted(*e.Accepted)
 		case request.EventCheckpoint:
 			c.checkpoint = e.Checkpoint
 		case request.EventChunk:
-			if err := c.chunk(*e.Chunk); err != nil {
+			if err := c.handleChunk(*e.Chunk); err != nil {
 				return nil, err
 			}
 		case request.EventFailed:
-			c.costs = e.Failed.Costs
+			c.failureCosts = e.Failed.Costs
 			return nil, e.Failed.Err()
 		case request.EventDone:
 			return e.Done, nil
@@ -284,13 +298,13 @@
 	return nil, verdict.New(verdict.Unknown, verdict.ReasonConnection, "client: the answer was cut off")
 }
 
-func (c *call) accepted(a request.Accepted) {
+func (c *call) handleAccepted(a request.Accepted) {
 	c.repeatable = c.repeatable && a.Repeatable
-	c.restart(a.Attempt)
+	c.startAttempt(a.Attempt)
 }
 
-// restart drops the text of lower attempts.
-func (c *call) restart(attempt int) {
+// startAttempt switches to a higher attempt and discards the text of lower ones.
+func (c *call) startAttempt(attempt int) {
 	if attempt <= c.attempt {
 		return
 	}
@@ -301,16 +315,18 @@
 	c.chunks = nil
 }
 
-func (c *call) chunk(chunk request.Chunk) error {
+// handleChunk adds a chunk to the text. It ignores chunks of lower attempts and chunks that
+// were already received.
+func (c *call) handleChunk(chunk request.Chunk) error {
 	if chunk.Attempt < c.attempt || chunk.Attempt == c.attempt && chunk.Sequence < len(c.chunks) {
 		return nil
 	}
-	c.restart(chunk.Attempt)
+	c.startAttempt(chunk.Attempt)
 	if chunk.Sequence != len(c.chunks) {
 		return verdict.New(verdict.Unknown, verdict.ReasonBadAnswer, "client: got chunk %d, want %d", chunk.Sequence, len(c.chunks))
 	}
 	if len(c.chunks) == 0 {
-		c.first = time.Since(c.begin)
+		c.firstTextAfter = time.Since(c.startedAt)
 	}
 	c.chunks = append(c.chunks, chunk.Text)
 	if c.observer.Text != nil {
@@ -319,18 +335,19 @@
 	return nil
 }
 
-// answer checks that what was read is whole.
-func (c *call) answer(done request.Done) (Answer, error) {
+// buildAnswer returns the answer after checking that it was received completely.
+func (c *call) buildAnswer(done request.Done) (Answer, error) {
 	text := strings.Join(c.chunks, "")
 	digest := request.NewDigest()
 	digest.Add(text)
 	if done.ID != c.id || done.Attempt != c.attempt || done.Chunks != len(c.chunks) || done.Digest != digest.Sum() {
 		return Answer{ID: c.id}, verdict.New(verdict.Unknown, verdict.ReasonBadAnswer, "client: the answer of %s is not whole", c.id)
 	}
-	return Answer{ID: c.id, Text: text, Node: c.node, Attempt: c.attempt, Costs: done.Costs, Resumed: c.resumed, First: c.first}, nil
+	return Answer{ID: c.id, Text: text, Node: c.node, Attempt: c.attempt, Costs: done.Costs, Resumed: c.resumed, First: c.firstTextAfter}, nil
 }
 
-func pause(ctx context.Context, d time.Duration) {
+// sleep waits for d or until ctx is done.
+func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/client/client.go
+++ b/client/client.go
@@ -21,73 +21,77 @@
 	"github.com/wingvale/wingvale/verdict"
 )
 
-// Options are a Client's settings. Bootstrap is needed.
+// Options configures a Client. Bootstrap is required.
 type Options struct {
-	// Bootstrap are entry addresses to ask first, in any order.
+	// Bootstrap lists addresses of entry hosts to contact first, in any order.
 	Bootstrap []netip.AddrPort
 	// Zone is the caller's availability zone, if it has one.
 	Zone string
-	// Transport connects to nodes; nil is a transport of the client's own.
+	// Transport connects to nodes. If nil, the client creates its own.
 	Transport http.RoundTripper
 }
 
 const (
 	headerID       = "Wingvale-Request-Id"
 	headerRevision = "Wingvale-Revision"
-	// idsAtOnce is how many ids are asked for with the addresses.
-	idsAtOnce    = 32
-	addressLimit = 64 << 10
-	askFor       = 2 * time.Second
-	// avoidFor is how long a node that did not answer is put last.
-	avoidFor = 5 * time.Second
+	// idsPerFetch is the number of request ids that are requested with the addresses.
+	idsPerFetch = 32
+	// maxResponseBytes limits the length of every response that is not a stream.
+	maxResponseBytes = 64 << 10
+	// fetchTimeout limits a request for addresses and ids.
+	fetchTimeout = 2 * time.Second
+	// unavailableDuration is how long a node is tried last after it did not answer.
+	unavailableDuration = 5 * time.Second
 )
 
-// Client is safe for concurrent use.
+// Client sends requests to wingvale nodes. It is safe for concurrent use.
 type Client struct {
 	options Options
 	http    *http.Client
 
 	mu sync.Mutex
-	// held has the last answer's addresses until its time is up.
-	held  []netip.AddrPort
-	until time.Time
-	// ids has unused ids by the node that issued them.
+	// addresses are the addresses fetched last. They are used until addressesExpireAt, and
+	// after it only if no node returns new ones.
+	addresses         []netip.AddrPort
+	addressesExpireAt time.Time
+	// ids has the unused request ids by the node that issued them.
 	ids map[netip.AddrPort]idBlock
-	// bad has nodes that did not answer, and until when they are put last.
-	bad map[netip.AddrPort]time.Time
-	// revision is the highest configuration revision that was seen.
+	// unavailableUntil has the nodes that did not answer, and until when they are tried last.
+	unavailableUntil map[netip.AddrPort]time.Time
+	// revision is the highest configuration revision seen.
 	revision uint64
 }
 
+// idBlock is a list of unused request ids of one node, which expire together.
 type idBlock struct {
-	ids   []request.ID
-	until time.Time
+	ids       []request.ID
+	expiresAt time.Time
 }
 
-// New returns a client. It makes no call.
+// New returns a client. It does not connect to any node.
 func New(o Options) *Client {
 	if o.Transport == nil {
 		o.Transport = &http.Transport{MaxIdleConnsPerHost: 256, IdleConnTimeout: time.Minute, DisableCompression: true}
 	}
 	return &Client{
-		options: o,
-		http:    &http.Client{Transport: o.Transport},
-		ids:     make(map[netip.AddrPort]idBlock),
-		bad:     make(map[netip.AddrPort]time.Time),
+		options:          o,
+		http:             &http.Client{Transport: o.Transport},
+		ids:              make(map[netip.AddrPort]idBlock),
+		unavailableUntil: make(map[netip.AddrPort]time.Time),
 	}
 }
 
-// Addresses asks for addresses, from any node that answers, unless the last
-// answer may still be held.
+// Addresses returns the cached addresses of nodes while they are fresh. Otherwise it fetches
+// them from the first node that answers, or falls back to the expired addresses.
 func (c *Client) Addresses(ctx context.Context) ([]netip.AddrPort, error) {
 	c.mu.Lock()
-	held, until := slices.Clone(c.held), c.until
+	cached, expiresAt := slices.Clone(c.addresses), c.addressesExpireAt
 	c.mu.Unlock()
-	if len(held) > 0 && time.Now().Before(until) {
-		return held, nil
+	if len(cached) > 0 && time.Now().Before(expiresAt) {
+		return cached, nil
 	}
 	var last error
-	for _, node := range c.order(slices.Concat(held, c.options.Bootstrap)) {
+	for _, node := range c.preferAvailable(slices.Concat(cached, c.options.Bootstrap)) {
 		a, err := c.Ask(ctx, node)
 		if err != nil {
 			last = err
@@ -97,104 +101,107 @@
 			return a.Addresses, nil
 		}
 	}
-	if len(held) > 0 {
-		return held, nil
+	if len(cached) > 0 {
+		return cached, nil
 	}
 	return nil, verdict.New(verdict.NotRun, verdict.ReasonConnection, "client: no node gives addresses: %w", last)
 }
 
-// Ask asks one node for addresses and ids, and keeps them.
+// Ask fetches addresses and request ids from one node and caches them.
 func (c *Client) Ask(ctx context.Context, node netip.AddrPort) (request.Addresses, error) {
-	ctx, cancel := context.WithTimeout(ctx, askFor)
+	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
-	target := fmt.Sprintf("http://%s/v1/addresses?ids=%d&zone=%s", node, idsAtOnce, url.QueryEscape(c.options.Zone))
+	target := fmt.Sprintf("http://%s/v1/addresses?ids=%d&zone=%s", node, idsPerFetch, url.QueryEscape(c.options.Zone))
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, target, http.NoBody)
 	if err != nil {
 		return request.Addresses{}, fmt.Errorf("client: %w", err)
 	}
 	response, err := c.http.Do(r)
 	if err != nil {
-		c.markBad(node)
+		c.markUnavailable(node)
 		return request.Addresses{}, fmt.Errorf("client: %w", err)
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
 		return request.Addresses{}, fmt.Errorf("client: %s: status %d", node, response.StatusCode)
 	}
-	a, err := wire.ReadLoose[request.Addresses](response.Body, addressLimit)
+	a, err := wire.ReadLoose[request.Addresses](response.Body, maxResponseBytes)
 	if err != nil {
 		return request.Addresses{}, fmt.Errorf("client: %w", err)
 	}
-	c.keep(node, a)
+	c.cacheResponse(node, a)
 	return a, nil
 }
 
-func (c *Client) keep(node netip.AddrPort, a request.Addresses) {
+// cacheResponse caches the addresses and ids that a node returned, and marks the node available.
+func (c *Client) cacheResponse(node netip.AddrPort, a request.Addresses) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(a.Addresses) > 0 {
-		c.held = slices.Clone(a.Addresses)
-		c.until = time.Now().Add(a.Hold.Std())
+		c.addresses = slices.Clone(a.Addresses)
+		c.addressesExpireAt = time.Now().Add(a.Hold.Std())
 	}
 	if len(a.IDs) > 0 {
-		c.ids[node] = idBlock{ids: a.IDs, until: time.Now().Add(a.IDsValid.Std() / 2)}
+		c.ids[node] = idBlock{ids: a.IDs, expiresAt: time.Now().Add(a.IDsValid.Std() / 2)}
 	}
-	delete(c.bad, node)
+	delete(c.unavailableUntil, node)
 	c.revision = max(c.revision, a.Revision)
 }
 
-func (c *Client) markBad(node netip.AddrPort) {
+// markUnavailable makes a node the last choice for unavailableDuration.
+func (c *Client) markUnavailable(node netip.AddrPort) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.bad[node] = time.Now().Add(avoidFor)
+	c.unavailableUntil[node] = time.Now().Add(unavailableDuration)
 }
 
-func (c *Client) isBad(node netip.AddrPort) bool {
+func (c *Client) isUnavailable(node netip.AddrPort) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return time.Now().Before(c.bad[node])
+	return time.Now().Before(c.unavailableUntil[node])
 }
 
-// order returns nodes without repeats, those that did not answer last.
-func (c *Client) order(nodes []netip.AddrPort) []netip.AddrPort {
+// preferAvailable returns nodes without duplicates, with unavailable nodes moved to the end.
+func (c *Client) preferAvailable(nodes []netip.AddrPort) []netip.AddrPort {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	var good, bad []netip.AddrPort
+	var available, unavailable []netip.AddrPort
 	seen := make(map[netip.AddrPort]bool, len(nodes))
 	for _, n := range nodes {
 		if seen[n] {
 			continue
 		}
 		seen[n] = true
-		if now.Before(c.bad[n]) {
-			bad = append(bad, n)
+		if now.Before(c.unavailableUntil[n]) {
+			unavailable = append(unavailable, n)
 			continue
 		}
-		good = append(good, n)
+		available = append(available, n)
 	}
-	return append(good, bad...)
+	return append(available, unavailable...)
 }
 
-// takeID returns an unused id of a node, after asking for more if need be.
-func (c *Client) takeID(ctx context.Context, node netip.AddrPort) (request.ID, error) {
-	if id, ok := c.heldID(node); ok {
+// acquireID returns an unused request id of a node. It fetches more ids if none is cached.
+func (c *Client) acquireID(ctx context.Context, node netip.AddrPort) (request.ID, error) {
+	if id, ok := c.cachedID(node); ok {
 		return id, nil
 	}
 	if _, err := c.Ask(ctx, node); err != nil {
 		return request.ID{}, err
 	}
-	if id, ok := c.heldID(node); ok {
+	if id, ok := c.cachedID(node); ok {
 		return id, nil
 	}
-	return request.ID{}, fmt.Errorf("client: %s gives no ids", node)
+	return request.ID{}, fmt.Errorf("client: %s returned no request ids", node)
 }
 
-func (c *Client) heldID(node netip.AddrPort) (request.ID, bool) {
+// cachedID removes one unexpired id of a node from the cache and returns it, if there is one.
+func (c *Client) cachedID(node netip.AddrPort) (request.ID, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	block := c.ids[node]
-	if len(block.ids) == 0 || time.Now().After(block.until) {
+	if len(block.ids) == 0 || time.Now().After(block.expiresAt) {
 		return request.ID{}, false
 	}
 	id := block.ids[0]
@@ -203,26 +210,26 @@
 	return id, true
 }
 
-// dropIDs forgets a node's ids: it has been replaced.
-func (c *Client) dropIDs(node netip.AddrPort) {
+// discardIDs discards the cached ids of a node that has been replaced or has rejected an id.
+func (c *Client) discardIDs(node netip.AddrPort) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.ids, node)
 }
 
-// nodes returns the nodes to try, in order: one of the held addresses first,
-// then the rest.
-func (c *Client) nodes(ctx context.Context) ([]netip.AddrPort, error) {
-	held, err := c.Addresses(ctx)
+// candidateNodes returns the nodes to try in order: one of the two best addresses first, then
+// the others, then the bootstrap addresses. Unavailable nodes come last.
+func (c *Client) candidateNodes(ctx context.Context) ([]netip.AddrPort, error) {
+	addresses, err := c.Addresses(ctx)
 	if err != nil {
 		return nil, err
 	}
-	if len(held) > 1 {
-		// The answer is held for long, so the calls spread over its best two.
-		at := rand.IntN(2)
-		held[0], held[at] = held[at], held[0]
+	if len(addresses) > 1 {
+		// Addresses are cached for a long time, so calls are spread over the best two.
+		i := rand.IntN(2)
+		addresses[0], addresses[i] = addresses[i], addresses[0]
 	}
-	return c.order(slices.Concat(held, c.options.Bootstrap)), nil
+	return c.preferAvailable(slices.Concat(addresses, c.options.Bootstrap)), nil
 }
 
 func (c *Client) setHeaders(r *http.Request, id request.ID) {
@@ -235,16 +242,17 @@
 	}
 }
 
-// Status asks what became of a request.
+// Status returns the status of a request from the node that issued its id.
 func (c *Client) Status(ctx context.Context, id request.ID) (request.Status, error) {
 	return c.control(ctx, http.MethodGet, id, "/status")
 }
 
-// Cancel ends a request and returns what became of it.
+// Cancel cancels a request at the node that issued its id and returns its status.
 func (c *Client) Cancel(ctx context.Context, id request.ID) (request.Status, error) {
 	return c.control(ctx, http.MethodDelete, id, "")
 }
 
+// control sends a status or cancel request to the issuer of an id.
 func (c *Client) control(ctx context.Context, method string, id request.ID, suffix string) (request.Status, error) {
 	target := fmt.Sprintf("http://%s/v1/requests/%s%s", id.Issuer, id, suffix)
 	r, err := http.NewRequestWithContext(ctx, method, target, http.NoBody)
@@ -257,13 +265,14 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		return request.Status{}, refusal(response.Body)
+		return request.Status{}, decodeRefusal(response.Body)
 	}
-	return wire.ReadLoose[request.Status](response.Body, addressLimit)
+	return wire.ReadLoose[request.Status](response.Body, maxResponseBytes)
 }
 
-func refusal(body io.Reader) error {
-	failed, err := wire.ReadLoose[request.Failed](body, addressLimit)
+// decodeRefusal returns the error that the body of a response other than 200 OK describes.
+func decodeRefusal(body io.Reader) error {
+	failed, err := wire.ReadLoose[request.Failed](body, maxResponseBytes)
 	if err != nil {
 		return verdict.New(verdict.Unknown, verdict.ReasonBadAnswer, "client: %w", err)
 	}
