--- a/examples/ask/main.go
+++ b/examples/ask/main.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The Wingvale Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Ask sends one question to a wingvale site and prints the answer as it comes:
+// Ask sends one question to a wingvale site and prints the answer as it arrives:
 //
 //	go run ./examples/ask 127.0.0.1:7000 'How do I mix alpine grey?'
 package main
@@ -40,7 +40,7 @@
 		Text: func(text string) { fmt.Print(text) },
 	})
 	if err != nil {
-		// The verdict says whether asking again could run it twice.
+		// The verdict says whether a retry could run the request twice.
 		fmt.Fprintln(os.Stderr, verdict.Of(err), err)
 		os.Exit(1)
 	}
