--- a/internal/experiment/case.go
+++ b/internal/experiment/case.go
@@ -10,7 +10,7 @@
 	"github.com/wingvale/wingvale/internal/standin"
 )
 
-// flow is one stream of requests of a case.
+// flow is a source of requests of a case.
 type flow struct {
 	name      string
 	workspace string
@@ -18,33 +18,36 @@
 	rate      func(at time.Duration) float64
 }
 
-// Case is one situation that is measured.
+// Case is one load scenario to measure.
 type Case struct {
 	Name string
-	// For is how long requests are offered.
+	// For is how long requests are sent.
 	For   time.Duration
-	size  size
+	size  siteSize
 	flows []flow
-	// from and to is when the situation lasts.
-	from, to time.Duration
-	// scale is what is left of a stage's capacity meanwhile.
-	scale map[string]float64
-	// begin and end make and undo the situation.
-	begin func(s *harness.Site)
-	end   func(s *harness.Site)
-	// cold starts the engines without models, lag is that of load reports.
-	cold bool
-	lag  time.Duration
-	// within names the flows that stay within their share.
-	within []string
+	// disturbedFrom and disturbedUntil are the start and end of the disturbance, counted from
+	// the first request. If disturbedUntil is 0, the case has no disturbance.
+	disturbedFrom, disturbedUntil time.Duration
+	// capacityScale is the fraction of a stage's capacity that remains during the disturbance,
+	// by stage. Stages that are not listed keep their full capacity.
+	capacityScale map[string]float64
+	// inject starts the disturbance and revert ends it. Either may be nil.
+	inject func(s *harness.Site)
+	revert func(s *harness.Site)
+	// coldStart starts the engines without loaded models. reportLag is the delay of load
+	// reports.
+	coldStart bool
+	reportLag time.Duration
+	// withinShare names the flows that do not exceed their fair share.
+	withinShare []string
 }
 
-func steady(rate float64) func(time.Duration) float64 {
+func constantRate(rate float64) func(time.Duration) float64 {
 	return func(time.Duration) float64 { return rate }
 }
 
-// burst is rate, times factor between from and to.
-func burst(rate, factor float64, from, to time.Duration) func(time.Duration) float64 {
+// burstRate returns a rate that is multiplied by factor between from and to.
+func burstRate(rate, factor float64, from, to time.Duration) func(time.Duration) float64 {
 	return func(at time.Duration) float64 {
 		if at >= from && at < to {
 			return rate * factor
@@ -53,8 +56,9 @@
 	}
 }
 
-// spread splits a rate of full pipelines over all workspaces but the large one.
-func spread(rate func(time.Duration) float64) []flow {
+// fullPipelineFlows splits a rate of requests to the full pipeline evenly over all workspaces
+// but the large one.
+func fullPipelineFlows(rate func(time.Duration) float64) []flow {
 	var flows []flow
 	for _, w := range workspaces[:4] {
 		flows = append(flows, flow{name: "full " + w, workspace: w, pipeline: "full",
@@ -64,69 +68,69 @@
 }
 
 const (
-	calm   = 10 * time.Second
-	lasts  = 10 * time.Second
-	warmed = 2 * time.Second
+	calmDuration        = 10 * time.Second
+	disturbanceDuration = 10 * time.Second
+	warmupDuration      = 2 * time.Second
 )
 
-// Cases returns all cases at a size; long is for the 3x overload.
+// Cases returns all cases. long is the duration of the 3x overload.
 func Cases(long time.Duration) []Case {
-	s := farbwerk()
+	s := farbwerkSize()
 	gen := s.capacity("generate")
 	cases := []Case{
-		{Name: "steady at 70%", For: 20 * time.Second, size: s, flows: spread(steady(0.7 * gen))},
-		{Name: "steady at 70%, arhiva", For: 15 * time.Second, size: arhiva(), flows: spread(steady(0.7 * arhiva().capacity("generate")))},
+		{Name: "steady at 70%", For: 20 * time.Second, size: s, flows: fullPipelineFlows(constantRate(0.7 * gen))},
+		{Name: "steady at 70%, arhiva", For: 15 * time.Second, size: arhivaSize(), flows: fullPipelineFlows(constantRate(0.7 * arhivaSize().capacity("generate")))},
 	}
 	for _, stage := range stages {
 		base := 0.4 * s.capacity(stage)
-		only := flow{name: "only-" + stage, workspace: "large", pipeline: "only-" + stage, rate: burst(base, 4, calm, calm+lasts)}
+		only := flow{name: "only-" + stage, workspace: "large", pipeline: "only-" + stage, rate: burstRate(base, 4, calmDuration, calmDuration+disturbanceDuration)}
 		cases = append(cases, Case{
-			Name: stage + " bursts to 4x", For: 3 * calm, size: s, from: calm, to: calm + lasts,
-			flows: append(spread(steady(0.4*gen)), only),
+			Name: stage + " bursts to 4x", For: 3 * calmDuration, size: s, disturbedFrom: calmDuration, disturbedUntil: calmDuration + disturbanceDuration,
+			flows: append(fullPipelineFlows(constantRate(0.4*gen)), only),
 		})
 	}
 	return append(cases,
 		Case{
-			Name: "rerank slowed 5x", For: 3 * calm, size: s, from: calm, to: calm + lasts,
-			flows: spread(steady(0.7 * gen)), scale: map[string]float64{"rerank": 0.2},
-			begin: setSlow("rerank", -1, 5), end: setSlow("rerank", -1, 1),
+			Name: "rerank slowed 5x", For: 3 * calmDuration, size: s, disturbedFrom: calmDuration, disturbedUntil: calmDuration + disturbanceDuration,
+			flows: fullPipelineFlows(constantRate(0.7 * gen)), capacityScale: map[string]float64{"rerank": 0.2},
+			inject: slowServers("rerank", -1, 5), revert: slowServers("rerank", -1, 1),
 		},
 		Case{
-			Name: "one engine slowed 5x", For: 3 * calm, size: s, from: calm, to: calm + lasts,
-			flows: spread(steady(0.7 * gen)), scale: map[string]float64{"generate": 0.92},
-			begin: setSlow("generate", 0, 5), end: setSlow("generate", 0, 1),
+			Name: "one engine slowed 5x", For: 3 * calmDuration, size: s, disturbedFrom: calmDuration, disturbedUntil: calmDuration + disturbanceDuration,
+			flows: fullPipelineFlows(constantRate(0.7 * gen)), capacityScale: map[string]float64{"generate": 0.92},
+			inject: slowServers("generate", 0, 5), revert: slowServers("generate", 0, 1),
 		},
 		Case{
-			Name: "one zone gone", For: 3 * calm, size: s, from: calm, to: 3 * calm,
-			flows: spread(steady(0.55 * gen)), scale: map[string]float64{"encode": 2. / 3, "retrieve": 2. / 3, "rerank": 2. / 3, "generate": 0.6},
-			begin: killZone(s.zones[0]),
+			Name: "one zone gone", For: 3 * calmDuration, size: s, disturbedFrom: calmDuration, disturbedUntil: 3 * calmDuration,
+			flows: fullPipelineFlows(constantRate(0.55 * gen)), capacityScale: map[string]float64{"encode": 2. / 3, "retrieve": 2. / 3, "rerank": 2. / 3, "generate": 0.6},
+			inject: killZone(s.zones[0]),
 		},
-		Case{Name: "reports late by 5 s", For: 20 * time.Second, size: s, flows: spread(steady(0.85 * gen)), lag: 5 * time.Second},
+		Case{Name: "reports late by 5 s", For: 20 * time.Second, size: s, flows: fullPipelineFlows(constantRate(0.85 * gen)), reportLag: 5 * time.Second},
 		Case{
-			Name: "one workspace floods", For: 3 * calm, size: s, from: calm, to: calm + lasts,
-			flows: append(spread(steady(0.4*gen)),
-				flow{name: "flood", workspace: "large", pipeline: "full", rate: burst(0.1*gen, 25, calm, calm+lasts)}),
-			within: []string{"full north", "full south", "full east", "full west"},
+			Name: "one workspace floods", For: 3 * calmDuration, size: s, disturbedFrom: calmDuration, disturbedUntil: calmDuration + disturbanceDuration,
+			flows: append(fullPipelineFlows(constantRate(0.4*gen)),
+				flow{name: "flood", workspace: "large", pipeline: "full", rate: burstRate(0.1*gen, 25, calmDuration, calmDuration+disturbanceDuration)}),
+			withinShare: []string{"full north", "full south", "full east", "full west"},
 		},
 		Case{
-			Name: "cold engines", For: 4 * calm, size: s, flows: spread(steady(0.5 * gen)), cold: true,
-			from: 0, to: s.loaded() / 2, scale: map[string]float64{"generate": 0.25},
+			Name: "cold engines", For: 4 * calmDuration, size: s, flows: fullPipelineFlows(constantRate(0.5 * gen)), coldStart: true,
+			disturbedFrom: 0, disturbedUntil: s.modelLoadTime() / 2, capacityScale: map[string]float64{"generate": 0.25},
 		},
 		Case{
-			Name: "3x overload", For: calm + long + calm, size: s, from: calm, to: calm + long,
-			flows: spread(burst(0.6*gen, 5, calm, calm+long)),
+			Name: "3x overload", For: calmDuration + long + calmDuration, size: s, disturbedFrom: calmDuration, disturbedUntil: calmDuration + long,
+			flows: fullPipelineFlows(burstRate(0.6*gen, 5, calmDuration, calmDuration+long)),
 		},
 	)
 }
 
-// loaded is how long the weight store takes to fill all engines. Until half of
-// that has passed, the mean capacity is a quarter of the whole.
-func (s size) loaded() time.Duration {
+// modelLoadTime is how long the weight store takes to send the model to all engines. Over the
+// first half of that time, a quarter of the full capacity is available on average.
+func (s siteSize) modelLoadTime() time.Duration {
 	return time.Duration(s.runners["generate"]) * modelBytes / weightRate * time.Second
 }
 
-// setSlow slows the server at an index of a pool, or all for -1.
-func setSlow(pool string, index int, factor float64) func(*harness.Site) {
+// slowServers slows down the server at index in a pool, or all its servers if index is -1.
+func slowServers(pool string, index int, factor float64) func(*harness.Site) {
 	return func(s *harness.Site) {
 		for i, server := range s.Servers(pool) {
 			if index < 0 || i == index {
@@ -136,7 +140,7 @@
 	}
 }
 
-// killZone ends all hosts of a zone at once.
+// killZone kills all hosts of a zone at once.
 func killZone(zone string) func(*harness.Site) {
 	return func(s *harness.Site) {
 		for i, n := range s.Nodes() {
@@ -152,44 +156,44 @@
 	}
 }
 
-// Bound returns the most requests that could be answered in time: for each
-// stage, no more than its capacity between the first offer and the last
-// deadline, during the situation and outside it.
+// Bound returns an upper bound on the number of requests that can be answered in time. No stage
+// can serve more than its capacity between the first request and the last deadline. The
+// capacity during the disturbance is counted separately.
 func (c Case) Bound(offered map[string][]int) float64 {
-	if c.to == 0 {
-		return c.boundOf(offered, 0, c.For, 1)
+	if c.disturbedUntil == 0 {
+		return c.boundBetween(offered, 0, c.For, 1)
 	}
-	total := c.boundOf(offered, 0, c.from, 1) + c.boundOf(offered, c.from, c.to, 0)
-	return total + c.boundOf(offered, c.to, c.For, 1)
+	total := c.boundBetween(offered, 0, c.disturbedFrom, 1) + c.boundBetween(offered, c.disturbedFrom, c.disturbedUntil, 0)
+	return total + c.boundBetween(offered, c.disturbedUntil, c.For, 1)
 }
 
-// boundOf bounds the requests offered from one time to another. scaled 0 takes
-// what the situation leaves of each stage.
-func (c Case) boundOf(offered map[string][]int, from, to time.Duration, scaled float64) float64 {
-	all, least := 0.0, -1.0
-	using := make(map[string]float64)
+// boundBetween returns the bound for the requests sent between two times. If fullCapacity is 0,
+// the capacity of the stages is that during the disturbance.
+func (c Case) boundBetween(offered map[string][]int, from, to time.Duration, fullCapacity float64) float64 {
+	total, lowest := 0.0, -1.0
+	requests := make(map[string]float64)
 	for _, f := range c.flows {
 		n := 0.0
 		for second := int(from / time.Second); second < int(to/time.Second) && second < len(offered[f.name]); second++ {
 			n += float64(offered[f.name][second])
 		}
-		all += n
+		total += n
 		for _, stage := range stages {
 			if f.pipeline == "full" || f.pipeline == "only-"+stage {
-				using[stage] += n
+				requests[stage] += n
 			}
 		}
 	}
 	for _, stage := range stages {
 		scale := 1.0
-		if x, ok := c.scale[stage]; ok && scaled == 0 {
-			scale = x
+		if remaining, ok := c.capacityScale[stage]; ok && fullCapacity == 0 {
+			scale = remaining
 		}
 		capacity := c.size.capacity(stage) * scale * (to - from + deadline).Seconds()
-		possible := all - using[stage] + min(using[stage], capacity)
-		if least < 0 || possible < least {
-			least = possible
+		possible := total - requests[stage] + min(requests[stage], capacity)
+		if lowest < 0 || possible < lowest {
+			lowest = possible
 		}
 	}
-	return least
+	return lowest
 }
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -18,15 +18,15 @@
 )
 
 var (
-	measure = flag.Bool("measure", false, "run all cases and print the table")
-	pick    = flag.String("case", "", "run the cases with this in their name")
-	detail  = flag.Bool("detail", false, "print each report")
-	long    = flag.Duration("long", 60*time.Second, "how long the 3x overload lasts")
-	ours    = flag.Bool("ours", false, "run no baselines")
+	measure          = flag.Bool("measure", false, "run all cases and print the table")
+	caseName         = flag.String("case", "", "run the cases with this in their name")
+	detail           = flag.Bool("detail", false, "print each report")
+	overloadDuration = flag.Duration("long", 60*time.Second, "how long the 3x overload lasts")
+	skipBaselines    = flag.Bool("ours", false, "run no baselines")
 )
 
-// TestOverloadIsServedAtCapacity guards the main result with room for the
-// order in which goroutines run, so that its verdict is the same on every run.
+// TestOverloadIsServedAtCapacity checks the main result. The limits leave room for differences
+// in goroutine scheduling, so that the test gives the same verdict on every run.
 // docs/DECISIONS.md has the figures of the long run.
 func TestOverloadIsServedAtCapacity(t *testing.T) {
 	var got [2]experiment.Outcome
@@ -43,10 +43,10 @@
 		}
 	}
 	ours, baseline := got[0], got[1]
-	assert.Assert(t, ours.During >= 0.65, "got %.3f of what capacity allowed, want 0.65", ours.During)
-	assert.Assert(t, ours.During >= 2*baseline.During, "got %.3f, want twice the baseline's %.3f", ours.During, baseline.During)
-	assert.Assert(t, ours.Waste <= 0.15, "got %.3f of the work wasted, want at most 0.15", ours.Waste)
-	assert.Assert(t, ours.Recovered >= 0 && ours.Recovered <= 5*time.Second, "got back to steady after %v, want 5s", ours.Recovered)
+	assert.Assert(t, ours.During >= 0.65, "attained %.3f of the bound during the overload, want at least 0.65", ours.During)
+	assert.Assert(t, ours.During >= 2*baseline.During, "attained %.3f of the bound, want at least twice the baseline's %.3f", ours.During, baseline.During)
+	assert.Assert(t, ours.Waste <= 0.15, "wasted %.3f of the work, want at most 0.15", ours.Waste)
+	assert.Assert(t, ours.Recovered >= 0 && ours.Recovered <= 5*time.Second, "recovered after %v, want at most 5s", ours.Recovered)
 }
 
 func TestMeasure(t *testing.T) {
@@ -57,12 +57,12 @@
 	lines := make(map[string]string)
 	var names []string
 	policies := experiment.Policies()
-	if *ours {
+	if *skipBaselines {
 		policies = policies[:1]
 	}
 	t.Run("cases", func(t *testing.T) {
-		for _, c := range experiment.Cases(*long) {
-			if !strings.Contains(c.Name, *pick) {
+		for _, c := range experiment.Cases(*overloadDuration) {
+			if !strings.Contains(c.Name, *caseName) {
 				continue
 			}
 			for _, p := range policies {
@@ -73,11 +73,11 @@
 					synctest.Test(t, func(t *testing.T) {
 						o, err := experiment.Run(t.Context(), c, p, 1)
 						assert.NilError(t, err)
-						text := line(o)
+						text := formatOutcome(o)
 						if *detail {
 							var b strings.Builder
 							o.Report.Write(&b)
-							text += "\n" + b.String() + seconds(o)
+							text += "\n" + b.String() + formatSeconds(o)
 						}
 						mu.Lock()
 						defer mu.Unlock()
@@ -94,8 +94,8 @@
 	}
 }
 
-// seconds lists offered and attained by the second of the offer.
-func seconds(o experiment.Outcome) string {
+// formatSeconds lists the attained and offered requests by the second in which they were sent.
+func formatSeconds(o experiment.Outcome) string {
 	var b strings.Builder
 	for name, s := range o.Report.Sources {
 		fmt.Fprintf(&b, "%s:", name)
@@ -107,7 +107,7 @@
 	return b.String()
 }
 
-func line(o experiment.Outcome) string {
+func formatOutcome(o experiment.Outcome) string {
 	within, during, recovered := "", "", ""
 	if o.Within > 0 {
 		within = fmt.Sprintf("%.1f%%", 100*o.Within)
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -25,18 +25,19 @@
 	"github.com/wingvale/wingvale/request"
 )
 
-// Policy is a way to decide, by name.
+// Policy is a named set of routing and admission policies.
 type Policy struct {
 	Name string
 	node.Policy
 }
 
-// unlimited lets the calls queue at the servers, as they do without limits.
+// unlimited returns options under which calls queue at the servers, as without a concurrency
+// limit.
 func unlimited() limit.Options {
 	return limit.Options{Initial: 1000, Max: 1000, Fixed: true}
 }
 
-// Policies returns ours first, then the baselines.
+// Policies returns wingvale's policy, followed by the baselines.
 func Policies() []Policy {
 	return []Policy{
 		{Name: "wingvale"},
@@ -45,49 +46,48 @@
 	}
 }
 
-// Outcome is what one policy made of one case.
+// Outcome is the result of one policy in one case.
 type Outcome struct {
 	Case   string
 	Policy string
-	// Offered and Attained count requests, Bound is the most that could be
-	// attained.
+	// Offered and Attained count the requests sent and those answered in time. Bound is the
+	// largest number that could be answered in time.
 	Offered  int
 	Attained int
 	Bound    float64
-	// During is what was attained of what capacity allowed while the situation
-	// lasted, 0 to 1.
+	// During is the fraction of the bound that was attained during the disturbance, 0 to 1.
 	During float64
-	// Waste is the share of stage work spent on requests that then missed.
+	// Waste is the share of stage work spent on requests that then missed their deadline.
 	Waste float64
 	// Cost is the stage work per attained request, by stage.
 	Cost map[string]time.Duration
-	// Within is the attainment of the flows within their share.
+	// Within is the share of attained requests of the flows within their fair share.
 	Within float64
-	// Recovered is how long after the situation 95% were attained again; a
-	// negative value says never.
+	// Recovered is the time from the end of the disturbance until 95% of requests were attained
+	// again. It is negative if that did not happen.
 	Recovered time.Duration
 	Report    *load.Report
 }
 
 const (
-	entryHosts = 9
-	callers    = 9
-	readyFor   = 20 * time.Second
+	entryHostCount = 9
+	callerCount    = 9
+	readyTimeout   = 20 * time.Second
 )
 
 // Run runs one case under one policy. It must be called in a synctest bubble.
 func Run(ctx context.Context, c Case, p Policy, seed uint64) (Outcome, error) {
 	o := harness.Options{
 		Site:    c.size.site(),
-		Nodes:   entryHosts,
+		Nodes:   entryHostCount,
 		Network: harness.Memory{Network: memnet.New(latency)},
 		Knobs:   func(pool sites.Pool) standin.Knobs { return knobs(c, pool) },
 		Token:   tokenTime,
-		Cold:    c.cold,
+		Cold:    c.coldStart,
 		Policy:  p.Policy,
 		Seed:    seed,
 	}
-	if c.cold {
+	if c.coldStart {
 		o.WeightRate = weightRate
 	}
 	s, err := harness.New(o)
@@ -95,19 +95,19 @@
 		return Outcome{}, err
 	}
 	defer s.Close()
-	readyCtx, cancel := context.WithTimeout(ctx, readyFor)
+	readyCtx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	if err := s.AwaitReady(readyCtx); err != nil {
 		return Outcome{}, err
 	}
-	if c.begin != nil {
-		time.AfterFunc(c.from, func() { c.begin(s) })
+	if c.inject != nil {
+		time.AfterFunc(c.disturbedFrom, func() { c.inject(s) })
 	}
-	if c.end != nil {
-		time.AfterFunc(c.to, func() { c.end(s) })
+	if c.revert != nil {
+		time.AfterFunc(c.disturbedUntil, func() { c.revert(s) })
 	}
 	report := load.Run(ctx, load.Options{
-		Caller:  newCallers(s),
+		Caller:  newRoundRobin(s),
 		Sources: c.sources(),
 		For:     c.For,
 		Random:  rand.New(rand.NewPCG(seed, 7)),
@@ -120,7 +120,7 @@
 }
 
 func knobs(c Case, pool sites.Pool) standin.Knobs {
-	k := standin.Knobs{Work: work(pool.Name), Jitter: jitter, ReportLag: c.lag}
+	k := standin.Knobs{Work: stageWork(pool.Name), Jitter: jitter, ReportLag: c.reportLag}
 	if pool.Name == "generate" {
 		k.Work = prefillWork
 	}
@@ -132,8 +132,9 @@
 	for _, f := range c.flows {
 		spec := request.Spec{Workspace: f.workspace, Pipeline: f.pipeline, Input: question, Deadline: pipeline.Duration(deadline)}
 		if f.pipeline == "only-generate" {
-			// Without documents the engine answers with the question.
-			spec.Input = strings.Repeat("grey ", tokens-1)
+			// Without documents the engine answers with the question, so its length sets the
+			// number of tokens.
+			spec.Input = strings.Repeat("grey ", answerTokens-1)
 		}
 		sources = append(sources, load.Source{
 			Name:     f.name,
@@ -145,25 +146,25 @@
 	return sources
 }
 
-// roundRobin takes each caller in turn.
+// roundRobin sends requests through several callers in rotation.
 type roundRobin struct {
 	callers []*client.Client
-	turn    chan int
+	next    chan int
 }
 
-func newCallers(s *harness.Site) *roundRobin {
-	r := &roundRobin{turn: make(chan int, 1)}
-	for i := range callers {
+func newRoundRobin(s *harness.Site) *roundRobin {
+	r := &roundRobin{next: make(chan int, 1)}
+	for i := range callerCount {
 		r.callers = append(r.callers, s.Client(s.Nodes()[i%len(s.Nodes())].Zone))
 	}
-	r.turn <- 0
+	r.next <- 0
 	return r
 }
 
-// Do runs spec.
+// Do sends spec through the next caller.
 func (r *roundRobin) Do(ctx context.Context, spec request.Spec) (client.Answer, error) {
-	i := <-r.turn
-	r.turn <- (i + 1) % len(r.callers)
+	i := <-r.next
+	r.next <- (i + 1) % len(r.callers)
 	return r.callers[i].Do(ctx, spec)
 }
 
@@ -180,17 +181,17 @@
 	for name, s := range r.Stages {
 		o.Cost[name] = s.Work / time.Duration(max(o.Attained, 1))
 	}
-	o.within(c, r)
-	if c.to > 0 {
-		o.During = c.during(r, offered)
-		o.Recovered = c.recovered(r)
+	o.setWithin(c, r)
+	if c.disturbedUntil > 0 {
+		o.During = c.disturbedAttainment(r, offered)
+		o.Recovered = c.recoveryTime(r)
 	}
 	return o
 }
 
-func (o *Outcome) within(c Case, r *load.Report) {
+func (o *Outcome) setWithin(c Case, r *load.Report) {
 	offered, attained := 0, 0
-	for _, name := range c.within {
+	for _, name := range c.withinShare {
 		offered += r.Sources[name].Offered
 		attained += r.Sources[name].Attained
 	}
@@ -199,21 +200,22 @@
 	}
 }
 
-// during compares what was attained in the situation with its bound.
-func (c Case) during(r *load.Report, offered map[string][]int) float64 {
+// disturbedAttainment returns the requests attained during the disturbance as a fraction of its
+// bound.
+func (c Case) disturbedAttainment(r *load.Report, offered map[string][]int) float64 {
 	attained := 0
 	for _, s := range r.Sources {
-		for i := int(c.from / time.Second); i < min(int(c.to/time.Second), len(s.Seconds)); i++ {
+		for i := int(c.disturbedFrom / time.Second); i < min(int(c.disturbedUntil/time.Second), len(s.Seconds)); i++ {
 			attained += s.Seconds[i].Attained
 		}
 	}
-	return float64(attained) / c.boundOf(offered, c.from, c.to, 0)
+	return float64(attained) / c.boundBetween(offered, c.disturbedFrom, c.disturbedUntil, 0)
 }
 
-const steadyShare = 0.95
+const recoveredShare = 0.95
 
-func (c Case) recovered(r *load.Report) time.Duration {
-	first := int(c.to / time.Second)
+func (c Case) recoveryTime(r *load.Report) time.Duration {
+	first := int(c.disturbedUntil / time.Second)
 	for second := first; second < int(c.For/time.Second); second++ {
 		offered, attained := 0, 0
 		for _, s := range r.Sources {
@@ -222,7 +224,7 @@
 				attained += s.Seconds[second].Attained
 			}
 		}
-		if float64(attained) >= steadyShare*float64(offered) {
+		if float64(attained) >= recoveredShare*float64(offered) {
 			return time.Duration(second-first) * time.Second
 		}
 	}
--- a/internal/experiment/site.go
+++ b/internal/experiment/site.go
@@ -12,70 +12,70 @@
 	"github.com/wingvale/wingvale/internal/standin"
 )
 
-// Stage times and sizes of the site that is measured. They put the capacities
-// of the four stages close together, so that each can become the tightest.
+// Stage times and sizes of the measured site. The capacities of the four stages are close to
+// each other, so that each can become the bottleneck.
 const (
 	encodeWork   = 40 * time.Millisecond
 	retrieveWork = 60 * time.Millisecond
 	rerankWork   = 50 * time.Millisecond
 	prefillWork  = 60 * time.Millisecond
 	tokenTime    = 30 * time.Millisecond
-	// tokens is how many the answers to the question have.
-	tokens      = 17
-	question    = "How do I mix alpine grey?"
-	poolSlots   = 2
-	engineSlots = 4
-	deadline    = 2 * time.Second
-	modelBytes  = 16_000_000_000
-	weightRate  = modelBytes / 2
-	jitter      = 0.2
+	// answerTokens is the number of tokens in an answer.
+	answerTokens = 17
+	question     = "How do I mix alpine grey?"
+	poolSlots    = 2
+	engineSlots  = 4
+	deadline     = 2 * time.Second
+	modelBytes   = 16_000_000_000
+	weightRate   = modelBytes / 2
+	jitter       = 0.2
 )
 
 var stages = []string{"encode", "retrieve", "rerank", "generate"}
 
-// size is how many servers each stage has.
-type size struct {
+// siteSize is the size of a site: its zones and the number of servers of each stage.
+type siteSize struct {
 	name    string
 	runners map[string]int
 	zones   []string
 }
 
-// Both customers' sizes.
-func farbwerk() size {
-	return size{name: "farbwerk", runners: map[string]int{"encode": 3, "retrieve": 3, "rerank": 3, "generate": 10}, zones: sites.Farbwerk().Zones}
+// Sizes of the sites of both customers.
+func farbwerkSize() siteSize {
+	return siteSize{name: "farbwerk", runners: map[string]int{"encode": 3, "retrieve": 3, "rerank": 3, "generate": 10}, zones: sites.Farbwerk().Zones}
 }
 
-func arhiva() size {
-	return size{name: "arhiva-climei", runners: map[string]int{"encode": 6, "retrieve": 6, "rerank": 6, "generate": 20}, zones: sites.ArhivaClimei().Zones}
+func arhivaSize() siteSize {
+	return siteSize{name: "arhiva-climei", runners: map[string]int{"encode": 6, "retrieve": 6, "rerank": 6, "generate": 20}, zones: sites.ArhivaClimei().Zones}
 }
 
-func work(stage string) time.Duration {
+func stageWork(stage string) time.Duration {
 	return map[string]time.Duration{
 		"encode":   encodeWork,
 		"retrieve": retrieveWork,
 		"rerank":   rerankWork,
-		"generate": prefillWork + (tokens-1)*tokenTime,
+		"generate": prefillWork + (answerTokens-1)*tokenTime,
 	}[stage]
 }
 
-func slots(stage string) int {
+func stageSlots(stage string) int {
 	if stage == "generate" {
 		return engineSlots
 	}
 	return poolSlots
 }
 
-// capacity returns the calls a second that a stage can serve.
-func (s size) capacity(stage string) float64 {
-	return float64(s.runners[stage]*slots(stage)) / work(stage).Seconds()
+// capacity returns how many calls a second a stage can serve.
+func (s siteSize) capacity(stage string) float64 {
+	return float64(s.runners[stage]*stageSlots(stage)) / stageWork(stage).Seconds()
 }
 
-// site returns the site of that size. Each stage has a pipeline of its own
-// beside the full one.
-func (s size) site() sites.Site {
-	site := sites.Site{Name: s.name, Zones: s.zones, Documents: standin.Recipes(), Published: s.values()}
+// site returns a site of that size. Each stage has a pipeline of its own in addition to the
+// full pipeline.
+func (s siteSize) site() sites.Site {
+	site := sites.Site{Name: s.name, Zones: s.zones, Documents: standin.Recipes(), Published: s.publishedValues()}
 	for _, stage := range stages {
-		p := sites.Pool{Name: stage, Role: published.RolePool, Stage: stage, Runners: s.runners[stage], Slots: slots(stage)}
+		p := sites.Pool{Name: stage, Role: published.RolePool, Stage: stage, Runners: s.runners[stage], Slots: stageSlots(stage)}
 		if stage == "generate" {
 			p.Role, p.Stage = published.RoleEngine, ""
 		}
@@ -88,11 +88,11 @@
 
 const generateValue = `{"name":"generate","kind":"engine","pool":"generate","model":"guide","prompt":"Explain.\n{previous}\nQuestion: {input}\n"}`
 
-func (s size) values() map[string]string {
+func (s siteSize) publishedValues() map[string]string {
 	values := map[string]string{
 		"models/guide": fmt.Sprintf(`{"format":1,"name":"guide","version":"v1","pool":"generate","bytes":%d,"replicas":%d}`, modelBytes, s.runners["generate"]),
 	}
-	all := ""
+	stageList := ""
 	pipelines := `"full":{}`
 	for i, stage := range stages {
 		value := fmt.Sprintf(stageValue, stage, stage)
@@ -100,14 +100,14 @@
 			value = generateValue
 		}
 		if i > 0 {
-			all += ","
+			stageList += ","
 		}
-		all += value
+		stageList += value
 		only := "only-" + stage
 		values["templates/"+only] = fmt.Sprintf(`{"format":1,"name":%q,"deadline":"2s","stages":[%s]}`, only, value)
 		pipelines += fmt.Sprintf(`,%q:{}`, only)
 	}
-	values["templates/full"] = fmt.Sprintf(`{"format":1,"name":"full","deadline":"2s","stages":[%s]}`, all)
+	values["templates/full"] = fmt.Sprintf(`{"format":1,"name":"full","deadline":"2s","stages":[%s]}`, stageList)
 	for _, w := range workspaces {
 		values["workspaces/"+w] = fmt.Sprintf(`{"format":1,"name":%q,"customer":%q,"weight":1,"pipelines":{%s}}`, w, s.name, pipelines)
 	}
