--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -28,11 +28,11 @@
 )
 
 var (
-	measure = flag.Bool("measure", false, "measure fleets and state")
-	most    = flag.Int("most", 300, "the largest fleet")
+	measure  = flag.Bool("measure", false, "measure fleets and state")
+	maxNodes = flag.Int("most", 300, "the largest fleet")
 )
 
-func TestReadsAndBytesDoNotGrowWithTheFleet(t *testing.T) {
+func TestReadsAndBytesAreIndependentOfFleetSize(t *testing.T) {
 	var small, large capacity.Fleet
 	for size, into := range map[int]*capacity.Fleet{6: &small, 18: &large} {
 		synctest.Test(t, func(t *testing.T) {
@@ -41,10 +41,10 @@
 			*into = f
 		})
 	}
-	assert.Assert(t, large.Reads <= 1.5*small.Reads, "got %.2f reads a second with 18 nodes, %.2f with 6", large.Reads, small.Reads)
-	assert.Assert(t, large.Bytes <= 1.8*small.Bytes, "got %.0f bytes a second with 18 nodes, %.0f with 6", large.Bytes, small.Bytes)
-	assert.Assert(t, large.Healthy <= 6*time.Second, "got a change in force after %v, want 6s", large.Healthy)
-	assert.Assert(t, large.Joined <= 20*time.Second, "got a joined zone up to date after %v, want 20s", large.Joined)
+	assert.Assert(t, large.Reads <= 1.5*small.Reads, "got %.2f reads a second with 18 nodes, want at most 1.5 times the %.2f with 6 nodes", large.Reads, small.Reads)
+	assert.Assert(t, large.Bytes <= 1.8*small.Bytes, "got %.0f bytes a second with 18 nodes, want at most 1.8 times the %.0f with 6 nodes", large.Bytes, small.Bytes)
+	assert.Assert(t, large.Healthy <= 6*time.Second, "change was in force after %v, want at most 6s", large.Healthy)
+	assert.Assert(t, large.Joined <= 20*time.Second, "rejoined zone was up to date after %v, want at most 20s", large.Joined)
 }
 
 func TestMeasure(t *testing.T) {
@@ -52,7 +52,7 @@
 		t.Skip("run with -args -measure")
 	}
 	for _, nodes := range []int{9, 30, 100, 300} {
-		if nodes > *most {
+		if nodes > *maxNodes {
 			continue
 		}
 		synctest.Test(t, func(t *testing.T) {
@@ -64,8 +64,8 @@
 	t.Run("state", measureState)
 }
 
-// heap returns the bytes in use that one call of add leaves.
-func heap(count int, add func(i int)) float64 {
+// heapBytes returns the heap bytes that one call of add keeps in use.
+func heapBytes(count int, add func(i int)) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.GC()
@@ -86,24 +86,24 @@
 func measureState(t *testing.T) {
 	for _, count := range []int{1000, 2500, 5000} {
 		values := published.New(pipeline.Decode)
-		per := heap(count, func(i int) {
+		bytesEach := heapBytes(count, func(i int) {
 			key := fmt.Sprintf("workspaces/w%d", i)
 			value := fmt.Sprintf(`{"format":1,"name":"w%d","customer":"c","weight":1,"pipelines":{"a":{},"b":{"max_wait":"2s"},"c":{"model":"m"}}}`, i)
 			assert.Equal(t, len(values.Offer(published.Entry{Key: key, Revision: uint64(i + 1), Data: []byte(value)})), 1)
 		})
-		t.Logf("workspace: %d -> %.0f bytes each", count, per)
+		t.Logf("workspace: %d -> %.0f bytes each", count, bytesEach)
 		runtime.KeepAlive(values)
 
 		hosts := published.New(published.DecodeHost)
-		per = heap(count, func(i int) {
+		bytesEach = heapBytes(count, func(i int) {
 			value := fmt.Sprintf(`{"address":%q,"role":"pool","pool":"p%d","zone":"a"}`, address(i), i%20)
 			assert.Equal(t, len(hosts.Offer(published.Entry{Key: address(i).String(), Revision: uint64(i + 1), Data: []byte(value)})), 1)
 		})
-		t.Logf("host line: %d -> %.0f bytes each", count, per)
+		t.Logf("host line: %d -> %.0f bytes each", count, bytesEach)
 		runtime.KeepAlive(hosts)
 
 		requests := table.New(address(1), table.Options{})
-		per = heap(count, func(int) {
+		bytesEach = heapBytes(count, func(int) {
 			run, _, err := requests.Begin(t.Context(), requests.Issue(1)[0], request.Spec{Workspace: "w", Pipeline: "p", Input: "How do I mix alpine grey?"})
 			assert.NilError(t, err)
 			run.Accept(request.Accepted{ID: run.ID, Attempt: 1})
@@ -113,18 +113,18 @@
 			run.End(time.Now(), request.Event{Type: request.EventDone, Done: &request.Done{ID: run.ID}})
 			requests.Ended(run)
 		})
-		t.Logf("ended request of 17 chunks: %d -> %.0f bytes each", count, per)
-		per = heap(count, func(int) {
+		t.Logf("ended request of 17 chunks: %d -> %.0f bytes each", count, bytesEach)
+		bytesEach = heapBytes(count, func(int) {
 			run, _, err := requests.Begin(t.Context(), requests.Issue(1)[0], request.Spec{})
 			assert.NilError(t, err)
 			requests.Refuse(run, verdict.NotRun, verdict.ReasonOverload)
 		})
-		t.Logf("refused id: %d -> %.0f bytes each", count, per)
+		t.Logf("refused id: %d -> %.0f bytes each", count, bytesEach)
 		runtime.KeepAlive(requests)
 	}
 	for _, count := range []int{9, 100, 560} {
 		view := fleet.New(fleet.Member{Address: address(0), Peer: address(0), Zone: "a"}, time.Now(), fleet.Options{})
-		per := heap(count, func(i int) {
+		bytesEach := heapBytes(count, func(i int) {
 			view.Merge(time.Now(), fleet.Member{Address: address(i + 1), Peer: address(i + 1), Zone: "luzern-a", Beat: 1790000000000})
 		})
 		random := rand.New(rand.NewPCG(1, 1))
@@ -132,7 +132,7 @@
 		for range 100 {
 			size += messageSize(view.News(time.Now(), random))
 		}
-		t.Logf("member: %d -> %.0f bytes each; heartbeat news %d bytes", count, per, size/100)
+		t.Logf("member: %d -> %.0f bytes each; heartbeat news %d bytes", count, bytesEach, size/100)
 	}
 }
 
