--- a/internal/harness/doc.go
+++ b/internal/harness/doc.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The Wingvale Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package harness sets up a whole site inside one process: the platform's and
-// the backend servers' stand-ins and real nodes, over a network in memory or
-// over loopback. The demo, the scenarios and the measurements run on it.
+// Package harness runs a whole site in one process: stand-ins for the platform and the backend
+// servers, and real nodes, over an in-memory network or over loopback. The demo, the scenarios and
+// the measurements use it.
 package harness
--- a/internal/harness/harness.go
+++ b/internal/harness/harness.go
@@ -26,68 +26,71 @@
 	"github.com/wingvale/wingvale/internal/table"
 )
 
-// Numbers of the processes of a site, from which addresses are made.
+// Process numbers within a site, from which Network.Address makes addresses, and ports.
 const (
-	numberPlatform = 1
-	numberNodes    = 100
-	numberServers  = 10000
-	numberCallers  = 60000
-	// dialsEnd is longer than any dial goes on.
-	dialsEnd = 5 * time.Second
-
-	portPlatform = 9000
-	portCaller   = 7000
-	portPeer     = 8000
-	portServer   = 6000
+	platformNumber    = 1
+	firstNodeNumber   = 100
+	firstServerNumber = 10000
+	firstCallerNumber = 60000
+	// maxDialTime is longer than any dial takes.
+	maxDialTime = 5 * time.Second
+
+	platformPort = 9000
+	callerPort   = 7000
+	peerPort     = 8000
+	serverPort   = 6000
 )
 
-// Options describe a site to set up. Site, Nodes and Network are needed.
+// Options configure a site. Site, Nodes and Network are required.
 type Options struct {
 	Site    sites.Site
 	Nodes   int
 	Network Network
 	Log     logrus.FieldLogger
-	// Knobs returns the behaviour of a pool's servers; nil is fast and sound.
+	// Knobs returns the initial behaviour of the servers of a pool. If it is nil they answer
+	// at once and without faults.
 	Knobs func(p sites.Pool) standin.Knobs
-	// Token is the engines' time between tokens.
+	// Token is the time between two tokens of a stream of an engine.
 	Token time.Duration
-	// Cold leaves the engines without models.
+	// Cold starts the engines without loaded models.
 	Cold bool
-	// WeightRate is the weight store's, in bytes a second; 0 loads at once.
+	// WeightRate is the rate of the weight store in bytes per second. If it is 0, engines load
+	// weights at once.
 	WeightRate int64
-	// Unchecked engines take any order.
+	// Unchecked makes the engines accept any order, whatever its fence.
 	Unchecked bool
-	// Settings changes a node's settings, if set.
+	// Settings, if set, changes the settings of each node.
 	Settings func(s *settings.Settings)
 	Policy   node.Policy
 	Table    table.Options
 	Seed     uint64
-	// Scope takes the nodes' metrics; nil drops them.
+	// Scope receives the metrics of the nodes. If it is nil they are discarded.
 	Scope tally.Scope
 }
 
-// Site is a running site. Close must be called.
+// Site is a running site. The caller must call Close.
 type Site struct {
-	options       Options
-	Configuration *standin.Configuration
-	Weights       *standin.Weights
-	platformAt    netip.AddrPort
-
-	mu      sync.Mutex
-	nodes   []*Node
-	servers []*Server
-	closers []func()
-	callers int
-	// started says that the servers of the start have been started.
-	started bool
+	options         Options
+	Configuration   *standin.Configuration
+	Weights         *standin.Weights
+	platformAddress netip.AddrPort
+
+	mu          sync.Mutex
+	nodes       []*Node
+	servers     []*Server
+	closeFuncs  []func()
+	callerCount int
+	// initialServersStarted reports whether all backend servers of the site have been started
+	// once.
+	initialServersStarted bool
 }
 
-// New sets a site up and starts its nodes.
+// New creates a site and starts its platform, backend servers and nodes.
 func New(o Options) (*Site, error) {
 	if o.Log == nil {
-		quiet := logrus.New()
-		quiet.SetOutput(io.Discard)
-		o.Log = quiet
+		discard := logrus.New()
+		discard.SetOutput(io.Discard)
+		o.Log = discard
 	}
 	s := &Site{options: o, Configuration: standin.NewConfiguration()}
 	if err := s.startPlatform(); err != nil {
@@ -97,7 +100,7 @@
 		s.Close()
 		return nil, err
 	}
-	s.started = true
+	s.initialServersStarted = true
 	for i := range o.Nodes {
 		if err := s.addNode(i); err != nil {
 			s.Close()
@@ -128,27 +131,27 @@
 	if s.options.WeightRate > 0 {
 		s.Weights = standin.NewWeights(s.options.WeightRate, sizes)
 	}
-	s.platformAt, err = s.options.Network.Address(numberPlatform, portPlatform)
+	s.platformAddress, err = s.options.Network.Address(platformNumber, platformPort)
 	if err != nil {
 		return err
 	}
-	_, err = s.serve(s.platformAt, s.Configuration.Handler())
+	_, err = s.serve(s.platformAddress, s.Configuration.Handler())
 	return err
 }
 
-// serve runs an HTTP server at address until the site closes.
+// serve runs an HTTP server at address until the site is closed.
 func (s *Site) serve(address netip.AddrPort, h http.Handler) (*http.Server, error) {
 	l, err := s.options.Network.Listen(address)
 	if err != nil {
 		return nil, err
 	}
-	var handling sync.WaitGroup
-	counted := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		handling.Add(1)
-		defer handling.Done()
+	var active sync.WaitGroup
+	tracked := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		active.Add(1)
+		defer active.Done()
 		h.ServeHTTP(w, r)
 	})
-	server := &http.Server{Handler: counted, ReadHeaderTimeout: time.Minute}
+	server := &http.Server{Handler: tracked, ReadHeaderTimeout: time.Minute}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -157,22 +160,22 @@
 	s.onClose(func() {
 		_ = server.Close()
 		<-done
-		handling.Wait()
+		active.Wait()
 	})
 	return server, nil
 }
 
-func (s *Site) onClose(do func()) {
+func (s *Site) onClose(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.closers = append(s.closers, do)
+	s.closeFuncs = append(s.closeFuncs, f)
 }
 
-func (s *Site) zone(i int) string {
+func (s *Site) zoneFor(i int) string {
 	return s.options.Site.Zones[i%len(s.options.Site.Zones)]
 }
 
-// List puts a line on the host list.
+// List publishes a host in the host list.
 func (s *Site) List(h published.Host) error {
 	data, err := json.Marshal(h)
 	if err != nil {
@@ -182,7 +185,7 @@
 	return nil
 }
 
-// Client returns a caller's client, at an address of its own.
+// Client returns a client for a caller in a zone, with its own address.
 func (s *Site) Client(zone string) *client.Client {
 	bootstrap := make([]netip.AddrPort, 0, len(s.nodes))
 	for _, n := range s.nodes {
@@ -191,13 +194,13 @@
 	return client.New(client.Options{Bootstrap: bootstrap, Zone: zone, Transport: s.Transport()})
 }
 
-// Transport returns how a caller connects, from an address of its own.
+// Transport returns an HTTP transport for a caller, with its own address.
 func (s *Site) Transport() *http.Transport {
 	s.mu.Lock()
-	number := numberCallers + s.callers
-	s.callers++
+	number := firstCallerNumber + s.callerCount
+	s.callerCount++
 	s.mu.Unlock()
-	address, err := s.options.Network.Address(number, portCaller)
+	address, err := s.options.Network.Address(number, callerPort)
 	if err != nil {
 		address = s.nodes[0].Caller
 	}
@@ -210,7 +213,7 @@
 	return transport
 }
 
-// Close ends everything.
+// Close stops the nodes, the backend servers and the platform.
 func (s *Site) Close() {
 	for _, n := range s.nodes {
 		if n.cancel != nil {
@@ -219,19 +222,19 @@
 		}
 	}
 	s.mu.Lock()
-	closers := s.closers
+	closeFuncs := s.closeFuncs
 	s.mu.Unlock()
-	for i := len(closers) - 1; i >= 0; i-- {
-		closers[i]()
+	for i := len(closeFuncs) - 1; i >= 0; i-- {
+		closeFuncs[i]()
 	}
 	if _, ok := s.options.Network.(Memory); ok {
-		// A transport may still dial for a call that has ended; in virtual
-		// time, waiting for that costs nothing.
-		time.Sleep(dialsEnd)
+		// A transport may still be dialing for a call that has ended. In virtual time the
+		// wait costs nothing.
+		time.Sleep(maxDialTime)
 	}
 }
 
-// Platform returns the configuration service's address.
+// Platform returns the address of the configuration service.
 func (s *Site) Platform() netip.AddrPort {
-	return s.platformAt
+	return s.platformAddress
 }
--- a/internal/harness/harness_test.go
+++ b/internal/harness/harness_test.go
@@ -18,7 +18,7 @@
 	"github.com/wingvale/wingvale/request"
 )
 
-func TestBothSitesAnswerWordForWord(t *testing.T) {
+func TestSitesReturnExpectedAnswers(t *testing.T) {
 	for _, site := range []sites.Site{sites.ArhivaClimei(), sites.Farbwerk()} {
 		t.Run(site.Name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -38,12 +38,12 @@
 					"arhiva-climei": {Workspace: "farm-cooperatives", Pipeline: "field-note"},
 					"farbwerk":      {Workspace: "paint-shops-north", Pipeline: "recipe-explanation"},
 				}
-				for _, q := range site.Questions {
+				for _, question := range site.Questions {
 					spec := specs[site.Name]
-					spec.Input = q
+					spec.Input = question
 					got, err := s.Client("").Do(ctx, spec)
 					assert.NilError(t, err)
-					want, err := standin.Expected(site.Documents, q)
+					want, err := standin.Expected(site.Documents, question)
 					assert.NilError(t, err)
 					assert.Equal(t, got.Text, want)
 				}
--- a/internal/harness/latency_test.go
+++ b/internal/harness/latency_test.go
@@ -23,12 +23,12 @@
 	"github.com/wingvale/wingvale/request"
 )
 
-var measure = flag.Bool("measure", false, "measure the latency that a node adds, on loopback")
+var measure = flag.Bool("measure", false, "measure the latency that a node adds, over loopback")
 
-const measured = 2000
+const sampleSize = 2000
 
-// TestAddedLatency compares four stages through a node with the same calls made
-// straight to the stand-ins, on loopback and in real time.
+// TestAddedLatency compares the latency of a request of four stages through a node with that of
+// the same calls made directly to the stand-ins, over loopback and in real time.
 func TestAddedLatency(t *testing.T) {
 	if !*measure {
 		t.Skip("run with -args -measure")
@@ -46,57 +46,57 @@
 	assert.NilError(t, s.AwaitReady(ctx))
 	caller := s.Client("")
 	spec := request.Spec{Workspace: "paint-shops-north", Pipeline: "recipe-explanation", Input: "How do I mix alpine grey?"}
-	through := sample(t, func() error {
+	viaNode := measureLatencies(t, func() error {
 		_, err := caller.Do(ctx, spec)
 		return err
 	})
-	direct := backend.New((&net.Dialer{}).DialContext)
-	straight := sample(t, func() error { return straightThrough(ctx, s, direct, spec.Input) })
-	for _, q := range []int{50, 99} {
-		a, b := through[len(through)*q/100], straight[len(straight)*q/100]
-		t.Logf("p%d: through a node %v, straight %v, added %v, %v a stage", q, a, b, a-b, (a-b)/4)
+	backendClient := backend.New((&net.Dialer{}).DialContext)
+	direct := measureLatencies(t, func() error { return callStagesDirectly(ctx, s, backendClient, spec.Input) })
+	for _, percentile := range []int{50, 99} {
+		nodeLatency, directLatency := viaNode[len(viaNode)*percentile/100], direct[len(direct)*percentile/100]
+		t.Logf("p%d: through a node %v, direct %v, added %v, %v per stage", percentile, nodeLatency, directLatency, nodeLatency-directLatency, (nodeLatency-directLatency)/4)
 	}
-	begin, used := time.Now(), processorTime()
-	sample(t, func() error {
+	start, startProcessorTime := time.Now(), processorTime()
+	measureLatencies(t, func() error {
 		_, err := caller.Do(ctx, spec)
 		return err
 	})
-	t.Logf("one caller: %.0f requests a second, %v of processor time each, stand-ins and caller included",
-		measured/time.Since(begin).Seconds(), (processorTime()-used)/measured)
+	t.Logf("one caller: %.0f requests per second, %v of processor time per request including stand-ins and caller",
+		sampleSize/time.Since(start).Seconds(), (processorTime()-startProcessorTime)/sampleSize)
 }
 
 func processorTime() time.Duration {
-	var u syscall.Rusage
-	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
-	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
+	var usage syscall.Rusage
+	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
+	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-func sample(t *testing.T, do func() error) []time.Duration {
+func measureLatencies(t *testing.T, do func() error) []time.Duration {
 	t.Helper()
-	var took []time.Duration
-	for range measured {
-		begin := time.Now()
+	var latencies []time.Duration
+	for range sampleSize {
+		start := time.Now()
 		assert.NilError(t, do())
-		took = append(took, time.Since(begin))
+		latencies = append(latencies, time.Since(start))
 	}
-	slices.Sort(took)
-	return took
+	slices.Sort(latencies)
+	return latencies
 }
 
-func straightThrough(ctx context.Context, s *harness.Site, c *backend.Client, input string) error {
+func callStagesDirectly(ctx context.Context, s *harness.Site, backendClient *backend.Client, input string) error {
 	id := request.Issue(request.Key{}, s.Nodes()[0].Caller, 1, 1, 0)
 	var previous json.RawMessage
 	for _, stage := range []string{"encode", "retrieve", "rerank"} {
 		pool := map[string]string{"encode": "encoders", "retrieve": "retrievers", "rerank": "rerankers"}[stage]
 		call := backend.Call{Server: s.Servers(pool)[0].Address, Request: id, Stage: stage, Attempt: 1}
-		result, _, err := c.Stage(ctx, call, protocol.StageCall{Input: input, Previous: previous})
+		result, _, err := backendClient.Stage(ctx, call, protocol.StageCall{Input: input, Previous: previous})
 		if err != nil {
 			return err
 		}
 		previous = result
 	}
 	call := backend.Call{Server: s.Servers("language-models")[0].Address, Request: id, Stage: "generate", Attempt: 1}
-	stream, _, err := c.Complete(ctx, call, protocol.Completion{Model: "colour-guide", Prompt: string(previous) + "\nQuestion: " + input})
+	stream, _, err := backendClient.Complete(ctx, call, protocol.Completion{Model: "colour-guide", Prompt: string(previous) + "\nQuestion: " + input})
 	if err != nil {
 		return err
 	}
--- a/internal/harness/network.go
+++ b/internal/harness/network.go
@@ -12,26 +12,27 @@
 	"github.com/wingvale/wingvale/internal/memnet"
 )
 
-// Network is where a site's processes listen and connect.
+// Network is the network of a site, on which its processes listen and connect.
 type Network interface {
-	// Listen listens at an address that Address returned.
+	// Listen listens on an address that Address returned.
 	Listen(address netip.AddrPort) (net.Listener, error)
-	// Address returns an address for the process with the given number. Ports
-	// of one number share an IP number where the network has several.
+	// Address returns an address for the process with the given number. If the network has
+	// several IP addresses, all ports of one number share one.
 	Address(number, port int) (netip.AddrPort, error)
-	// Dialer returns how the host with that IP number connects.
+	// Dialer returns the dial function of the host with the given IP address.
 	Dialer(host netip.Addr) backend.Dial
 }
 
-// Loopback is the machine's own loopback.
+// Loopback is a Network on the loopback interface of the machine.
 type Loopback struct{}
 
-// Listen listens on a real socket.
+// Listen listens on a TCP socket.
 func (Loopback) Listen(address netip.AddrPort) (net.Listener, error) {
 	return net.Listen("tcp", address.String())
 }
 
-// Address returns a port that is free now.
+// Address returns a loopback address with a port that is currently free. It ignores the number
+// and the port.
 func (Loopback) Address(int, int) (netip.AddrPort, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -41,7 +42,7 @@
 	return netip.ParseAddrPort(l.Addr().String())
 }
 
-// Dialer returns the standard dialer.
+// Dialer returns the dial function of a net.Dialer.
 func (Loopback) Dialer(netip.Addr) backend.Dial {
 	d := &net.Dialer{}
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -49,18 +50,18 @@
 	}
 }
 
-// Memory is a network in memory: each number is a host of its own.
+// Memory is a Network in memory, in which each number is a separate host.
 type Memory struct {
 	*memnet.Network
 }
 
-// Address returns 10.X.Y.1 for a number, with the port as asked.
+// Address returns the given port at 10.X.Y.1, where X and Y are the two low bytes of the number.
 func (Memory) Address(number, port int) (netip.AddrPort, error) {
 	host := netip.AddrFrom4([4]byte{10, byte(number >> 8), byte(number), 1})
 	return netip.AddrPortFrom(host, uint16(port)), nil
 }
 
-// Dialer returns the network's dialer.
+// Dialer returns the dial function of the host with the given IP address.
 func (m Memory) Dialer(host netip.Addr) backend.Dial {
 	return m.Network.Dialer(host)
 }
--- a/internal/harness/node.go
+++ b/internal/harness/node.go
@@ -22,22 +22,22 @@
 	Caller netip.AddrPort
 	Peer   netip.AddrPort
 	Zone   string
-	// Node is nil while the host is down.
+	// Node is nil until the host is first started. After KillNode it is the stopped node.
 	*node.Node
-	cancel context.CancelFunc
-	runs   int
+	cancel     context.CancelFunc
+	startCount int
 }
 
 func (s *Site) addNode(i int) error {
-	caller, err := s.options.Network.Address(numberNodes+i, portCaller)
+	caller, err := s.options.Network.Address(firstNodeNumber+i, callerPort)
 	if err != nil {
 		return err
 	}
-	peer, err := s.options.Network.Address(numberNodes+i, portPeer)
+	peer, err := s.options.Network.Address(firstNodeNumber+i, peerPort)
 	if err != nil {
 		return err
 	}
-	n := &Node{Caller: caller, Peer: peer, Zone: s.zone(i)}
+	n := &Node{Caller: caller, Peer: peer, Zone: s.zoneFor(i)}
 	s.nodes = append(s.nodes, n)
 	host := published.Host{Address: caller, Peer: peer, Role: published.RoleEntry, Zone: n.Zone}
 	if err := s.List(host); err != nil {
@@ -46,7 +46,7 @@
 	return s.StartNode(i)
 }
 
-// StartNode starts the i-th entry host, as a new incarnation at its address.
+// StartNode starts the i-th entry host as a new incarnation at its address.
 func (s *Site) StartNode(i int) error {
 	n := s.nodes[i]
 	callerListener, err := s.options.Network.Listen(n.Caller)
@@ -64,20 +64,20 @@
 		Dial:           s.options.Network.Dialer(n.Caller.Addr()),
 		CallerListener: callerListener,
 		PeerListener:   peerListener,
-		Seed:           s.options.Seed + uint64(i)*1000 + uint64(n.runs),
+		Seed:           s.options.Seed + uint64(i)*1000 + uint64(n.startCount),
 		Policy:         s.options.Policy,
 		Table:          s.options.Table,
 	}
 	if m, ok := s.options.Network.(Memory); ok {
 		o.BeforeTick = func() { m.Await(n.Caller.Addr()) }
 	}
-	n.runs++
+	n.startCount++
 	n.Node = node.New(o)
 	ctx, cancel := context.WithCancel(context.Background())
 	n.cancel = cancel
-	go func(run *node.Node) {
-		if err := run.Run(ctx); err != nil && !errors.Is(err, context.Canceled) {
-			s.options.Log.WithError(err).Error("a node ended")
+	go func(n *node.Node) {
+		if err := n.Run(ctx); err != nil && !errors.Is(err, context.Canceled) {
+			s.options.Log.WithError(err).Error("node stopped unexpectedly")
 		}
 	}(n.Node)
 	return nil
@@ -86,14 +86,14 @@
 func (s *Site) nodeSettings(n *Node) settings.Settings {
 	st := settings.Default()
 	st.Caller, st.Peer, st.Zone = n.Caller, n.Peer, n.Zone
-	st.Platform = []netip.AddrPort{s.platformAt}
+	st.Platform = []netip.AddrPort{s.platformAddress}
 	if s.options.Settings != nil {
 		s.options.Settings(&st)
 	}
 	return st
 }
 
-// Nodes returns the entry hosts.
+// Nodes returns all entry hosts, whether they run or not.
 func (s *Site) Nodes() []*Node {
 	return s.nodes
 }
@@ -105,7 +105,7 @@
 	return s.options.Scope
 }
 
-// KillNode ends the i-th entry host at once, as a crash would.
+// KillNode stops the i-th entry host at once, as a crash would, and waits until it has ended.
 func (s *Site) KillNode(i int) {
 	n := s.nodes[i]
 	if m, ok := s.options.Network.(Memory); ok {
@@ -115,13 +115,13 @@
 	<-n.Done()
 }
 
-// AwaitReady waits until all nodes that run are ready.
+// AwaitReady waits until all nodes are ready. It returns an error if ctx is done before.
 func (s *Site) AwaitReady(ctx context.Context) error {
 	for _, n := range s.nodes {
 		for !n.Dump().Ready {
 			select {
 			case <-ctx.Done():
-				return fmt.Errorf("harness: %s is not ready: %w", n.Caller, ctx.Err())
+				return fmt.Errorf("harness: node %s is not ready: %w", n.Caller, ctx.Err())
 			case <-time.After(20 * time.Millisecond):
 			}
 		}
--- a/internal/harness/server.go
+++ b/internal/harness/server.go
@@ -21,13 +21,13 @@
 	Host     published.Host
 	Pool     sites.Pool
 	Instance string
-	// Engine or Runner is set.
+	// Engine is set for an engine, Runner for all other servers.
 	Engine *standin.Engine
 	Runner *standin.Pool
 	http   *http.Server
 }
 
-// Set changes the server's knobs.
+// Set changes the knobs of the server.
 func (s *Server) Set(change func(k *standin.Knobs)) {
 	if s.Engine != nil {
 		s.Engine.Set(change)
@@ -36,7 +36,7 @@
 	s.Runner.Set(change)
 }
 
-// Arrivals returns the calls that the server began.
+// Arrivals returns the calls that the server has started to run, oldest first.
 func (s *Server) Arrivals() []standin.Arrival {
 	if s.Engine != nil {
 		return s.Engine.Arrivals()
@@ -45,10 +45,10 @@
 }
 
 func (s *Site) startServers() error {
-	number := numberServers
+	number := firstServerNumber
 	for _, p := range s.options.Site.Pools {
 		for i := range p.Runners {
-			address, err := s.options.Network.Address(number, portServer)
+			address, err := s.options.Network.Address(number, serverPort)
 			if err != nil {
 				return err
 			}
@@ -61,7 +61,7 @@
 					Address:      address,
 					Role:         p.Role,
 					Pool:         p.Name,
-					Zone:         s.zone(i),
+					Zone:         s.zoneFor(i),
 					ChecksOrders: p.Role == published.RoleEngine && !s.options.Unchecked,
 				},
 			}
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// StartServer starts a backend server at its address, as its Instance.
+// StartServer starts a backend server at its address, with the instance name server.Instance.
 func (s *Site) StartServer(server *Server) error {
 	o := standin.Options{Slots: server.Pool.Slots, Instance: server.Instance, Seed: s.options.Seed + uint64(server.Address.Port())}
 	if s.options.Knobs != nil {
@@ -89,7 +89,7 @@
 		handler = server.Engine.Handler()
 		s.onClose(server.Engine.Close)
 	} else {
-		server.Runner = standin.NewPool(o, s.job(server.Pool))
+		server.Runner = standin.NewPool(o, s.jobFor(server.Pool))
 		handler = server.Runner.Handler()
 	}
 	var err error
@@ -97,35 +97,35 @@
 	return err
 }
 
-const engineMemory = 80 << 30
+const engineMemoryBytes = 80 << 30
 
 func (s *Site) engineOptions(o standin.Options) standin.EngineOptions {
-	e := standin.EngineOptions{Options: o, Token: s.options.Token, MemoryBytes: engineMemory, Unchecked: s.options.Unchecked}
+	e := standin.EngineOptions{Options: o, Token: s.options.Token, MemoryBytes: engineMemoryBytes, Unchecked: s.options.Unchecked}
 	if s.Weights != nil {
 		e.Weights = s.Weights.Fetch
 	}
-	if s.options.Cold || s.started {
-		// A replaced engine comes without models: nothing of it lasts.
+	if s.options.Cold || s.initialServersStarted {
+		// A replaced engine starts without models, because its state is not persistent.
 		return e
 	}
 	values, _ := s.options.Site.Values()
 	for key := range values {
-		var m protocol.Loaded
-		var v struct {
+		var model protocol.Loaded
+		var value struct {
 			Version  string   `json:"version"`
 			Adapters []string `json:"adapters"`
 			Bytes    int64    `json:"bytes"`
 			Name     string   `json:"name"`
 		}
-		if json.Unmarshal([]byte(values[key]), &v) == nil && v.Bytes > 0 {
-			m = protocol.Loaded{Model: v.Name, Version: v.Version, Adapters: v.Adapters, Ready: true}
-			e.Models = append(e.Models, m)
+		if json.Unmarshal([]byte(values[key]), &value) == nil && value.Bytes > 0 {
+			model = protocol.Loaded{Model: value.Name, Version: value.Version, Adapters: value.Adapters, Ready: true}
+			e.Models = append(e.Models, model)
 		}
 	}
 	return e
 }
 
-func (s *Site) job(p sites.Pool) standin.Job {
+func (s *Site) jobFor(p sites.Pool) standin.Job {
 	switch p.Stage {
 	case sites.StageEncode:
 		return standin.Encode
@@ -138,7 +138,7 @@
 	}
 }
 
-// Servers returns the backend servers of a pool, or all for the empty name.
+// Servers returns the backend servers of a pool, or of all pools if the name is empty.
 func (s *Site) Servers(pool string) []*Server {
 	var servers []*Server
 	for _, server := range s.servers {
@@ -149,7 +149,7 @@
 	return servers
 }
 
-// KillServer ends a backend server at once.
+// KillServer stops a backend server at once, as a crash would.
 func (s *Site) KillServer(server *Server) {
 	if m, ok := s.options.Network.(Memory); ok {
 		m.Kill(server.Address.Addr())
