--- a/internal/harness/latency_test.go
+++ b/internal/harness/latency_test.go
@@ -23,7 +23,7 @@
 	"github.com/wingvale/wingvale/request"
 )
 
-var measure = flag.Bool("measure", false, "measure the latency that a node adds, over loopback")
+var measure = flag.Bool("measure", false, "measure the latency that a node adds, on loopback")
 
 const sampleSize = 2000
 
--- a/internal/harness/node.go
+++ b/internal/harness/node.go
@@ -75,8 +75,8 @@
 	n.Node = node.New(o)
 	ctx, cancel := context.WithCancel(context.Background())
 	n.cancel = cancel
-	go func(n *node.Node) {
-		if err := n.Run(ctx); err != nil && !errors.Is(err, context.Canceled) {
+	go func(running *node.Node) {
+		if err := running.Run(ctx); err != nil && !errors.Is(err, context.Canceled) {
 			s.options.Log.WithError(err).Error("node stopped unexpectedly")
 		}
 	}(n.Node)
