--- a/internal/memnet/link.go
+++ b/internal/memnet/link.go
@@ -13,26 +13,27 @@
 	"github.com/wingvale/wingvale/internal/peek"
 )
 
-// link joins two pipes and carries data between them, late or held back as the
-// network says.
+// link is a connection between two hosts. It consists of two pipes and copies data between them,
+// with the latency, the rate limit and the cuts of the network.
 type link struct {
 	network  *Network
 	from, to netip.Addr
 	port     uint16
 	ends     [4]net.Conn
-	there    way
-	back     way
+	forward  direction
+	backward direction
 	stop     chan struct{}
 	once     sync.Once
-	// closed says which end's user has closed it: the near one, the far one.
+	// closed reports for the near and the far end whether its user has closed it.
 	closed [2]atomic.Bool
-	// silent says that nothing arrives any more, nor does an end. One way that
-	// has ended is counted in over; the link goes with both.
-	silent atomic.Bool
-	over   atomic.Int32
+	// silent reports that neither data nor the end of the data is delivered any more.
+	// endedDirections counts the directions that have ended on a silent link. The link is closed
+	// once both have.
+	silent          atomic.Bool
+	endedDirections atomic.Int32
 }
 
-// conn is an end of a link as its user sees it.
+// conn is one end of a link, as the user of the network gets it.
 type conn struct {
 	net.Conn
 	link          *link
@@ -40,57 +41,56 @@
 	local, remote netip.AddrPort
 }
 
-// Close closes this end; the other hears of it after the data.
+// Close closes this end. The other end sees the close after the data sent before.
 func (c conn) Close() error {
 	c.link.closed[c.end].Store(true)
 	return c.Conn.Close()
 }
 
-// Peek tells whether the other end was closed, once that can have arrived. It
-// does not tell of data.
+// Peek returns peek.Ended if the other end was closed and the close is not delayed. It does not
+// report pending data.
 func (c conn) Peek() peek.State {
-	held := c.link.network.holds(c.remote.Addr(), c.local.Addr())
-	if c.link.closed[1-c.end].Load() && !held && !c.link.silent.Load() {
+	delayed := c.link.network.isDelayed(c.remote.Addr(), c.local.Addr())
+	if c.link.closed[1-c.end].Load() && !delayed && !c.link.silent.Load() {
 		return peek.Ended
 	}
 	return peek.Unknown
 }
 
-// LocalAddr returns the end's own address.
+// LocalAddr returns the address of this end.
 func (c conn) LocalAddr() net.Addr { return net.TCPAddrFromAddrPort(c.local) }
 
-// RemoteAddr returns the other end's address.
+// RemoteAddr returns the address of the other end.
 func (c conn) RemoteAddr() net.Addr { return net.TCPAddrFromAddrPort(c.remote) }
 
 func (n *Network) newLink(from, to netip.AddrPort) (near, far net.Conn, l *link) {
 	nearOuter, nearInner := net.Pipe()
 	farOuter, farInner := net.Pipe()
 	l = &link{
-		network: n,
-		there:   n.newWay(from.Addr(), to.Addr()),
-		back:    n.newWay(to.Addr(), from.Addr()),
-		from:    from.Addr(),
-		to:      to.Addr(),
-		port:    to.Port(),
-		ends:    [4]net.Conn{nearOuter, nearInner, farOuter, farInner},
-		stop:    make(chan struct{}),
+		network:  n,
+		forward:  n.newDirection(from.Addr(), to.Addr()),
+		backward: n.newDirection(to.Addr(), from.Addr()),
+		from:     from.Addr(),
+		to:       to.Addr(),
+		port:     to.Port(),
+		ends:     [4]net.Conn{nearOuter, nearInner, farOuter, farInner},
+		stop:     make(chan struct{}),
 	}
 	n.mu.Lock()
 	n.links[l] = true
 	n.mu.Unlock()
-	go l.carry(nearInner, farInner, l.there)
-	go l.carry(farInner, nearInner, l.back)
+	go l.transfer(nearInner, farInner, l.forward)
+	go l.transfer(farInner, nearInner, l.backward)
 	return conn{nearOuter, l, 0, from, to}, conn{farOuter, l, 1, to, from}, l
 }
 
-// kill closes the ends of a host that is gone; the other end hears of it unless
-// the link is silent.
+// kill closes the ends at a killed host. The other end sees the close unless the link is silent.
 func (l *link) kill(host netip.Addr) {
 	if !l.silent.Load() {
 		_ = l.Close()
 		return
 	}
-	// The outer ends are at 0 and 2.
+	// The outer ends have the indices 0 and 2.
 	if l.from == host {
 		_ = l.ends[0].Close()
 	}
@@ -99,7 +99,7 @@
 	}
 }
 
-// Close resets the link.
+// Close resets the connection: it closes both ends at once and drops data in flight.
 func (l *link) Close() error {
 	l.once.Do(func() {
 		close(l.stop)
@@ -114,41 +114,41 @@
 }
 
 type packet struct {
-	data []byte
-	due  time.Time
+	data      []byte
+	deliverAt time.Time
 }
 
 const (
-	packetSize = 16 << 10
-	inFlight   = 256
-	// limitedPacket is a packet on limited links, limitedInFlight how many of
-	// them one connection has at each end: 64 KiB at both fill 200 Mbit/s over
-	// 2 ms there and back.
-	limitedPacket   = 4 << 10
-	limitedInFlight = 8
+	packetSize         = 16 << 10
+	maxPacketsInFlight = 256
+	// limitedPacketSize and limitedMaxPacketsInFlight apply to rate-limited links. One connection has
+	// limitedMaxPacketsInFlight packets at each end: the 64 KiB of both ends fill 200 Mbit/s with a
+	// round trip of 2 ms.
+	limitedPacketSize         = 4 << 10
+	limitedMaxPacketsInFlight = 8
 )
 
-// carry moves data one way until either end closes.
-func (l *link) carry(in, out net.Conn, w way) {
-	size, most := packetSize, inFlight
-	if w.limited() {
-		size, most = limitedPacket, limitedInFlight
+// transfer copies data in one direction until either end closes.
+func (l *link) transfer(in, out net.Conn, d direction) {
+	size, maxPackets := packetSize, maxPacketsInFlight
+	if d.limited() {
+		size, maxPackets = limitedPacketSize, limitedMaxPacketsInFlight
 	}
-	packets := make(chan packet, most)
-	arrived := packets
-	if w.in != nil {
-		arrived = make(chan packet, most)
-		go l.arrive(packets, arrived, w.in)
+	packets := make(chan packet, maxPackets)
+	received := packets
+	if d.in != nil {
+		received = make(chan packet, maxPackets)
+		go l.limitReceiver(packets, received, d.in)
 	}
-	go l.deliver(arrived, out, w)
+	go l.deliver(received, out, d)
 	defer close(packets)
 	buffer := make([]byte, size)
 	for {
 		count, err := in.Read(buffer)
 		if count > 0 {
-			l.network.count(Flow{From: w.from, To: w.to, Port: l.port}, count)
-			late := w.out.take(count) + l.network.latency(w.from, w.to)
-			p := packet{data: append([]byte(nil), buffer[:count]...), due: time.Now().Add(late)}
+			l.network.addSent(Flow{From: d.from, To: d.to, Port: l.port}, count)
+			delay := d.out.reserve(count) + l.network.latency(d.from, d.to)
+			p := packet{data: append([]byte(nil), buffer[:count]...), deliverAt: time.Now().Add(delay)}
 			select {
 			case packets <- p:
 			case <-l.stop:
@@ -161,40 +161,40 @@
 	}
 }
 
-// arrive queues packets at the receiver's link as they come.
-func (l *link) arrive(packets <-chan packet, arrived chan<- packet, m *meter) {
-	defer close(arrived)
+// limitReceiver applies the rate limit of the receiving host to packets in order of arrival.
+func (l *link) limitReceiver(packets <-chan packet, received chan<- packet, lim *limiter) {
+	defer close(received)
 	for p := range packets {
-		if !pause(time.Until(p.due), l.stop) {
+		if !sleepOrStop(time.Until(p.deliverAt), l.stop) {
 			return
 		}
-		p.due = time.Now().Add(m.take(len(p.data)))
+		p.deliverAt = time.Now().Add(lim.reserve(len(p.data)))
 		select {
-		case arrived <- p:
+		case received <- p:
 		case <-l.stop:
 			return
 		}
 	}
 }
 
-func (l *link) deliver(packets <-chan packet, out net.Conn, w way) {
+func (l *link) deliver(packets <-chan packet, out net.Conn, d direction) {
 	defer func() {
 		if l.silent.Load() {
-			if l.over.Add(1) == 2 {
+			if l.endedDirections.Add(1) == 2 {
 				_ = l.Close()
 			}
 			return
 		}
-		// The end of the data reaches the other side after the data.
-		if l.network.wait(w.from, w.to, l.stop) {
+		// The other end sees the close after the data.
+		if l.network.awaitDelivery(d.from, d.to, l.stop) {
 			_ = l.Close()
 		}
 	}()
 	for p := range packets {
-		if !pause(time.Until(p.due), l.stop) {
+		if !sleepOrStop(time.Until(p.deliverAt), l.stop) {
 			return
 		}
-		if !l.network.wait(w.from, w.to, l.stop) {
+		if !l.network.awaitDelivery(d.from, d.to, l.stop) {
 			return
 		}
 		if l.silent.Load() {
--- a/internal/memnet/memnet.go
+++ b/internal/memnet/memnet.go
@@ -1,12 +1,12 @@
 // Copyright 2026 The Wingvale Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package memnet is a small network in memory. Its links can be slowed, limited
-// to a rate, cut in one or both directions, and healed, or made silent for good;
-// its hosts can be frozen and killed. It works under testing/synctest.
+// Package memnet implements a small in-memory network. Links can have a latency and a bandwidth
+// limit, and can be cut in one or both directions, healed, or silenced permanently. Hosts can be
+// frozen and killed. The package works under testing/synctest.
 //
-// A cut link holds data back, as TCP does, and lets it through once healed. A
-// frozen host's listeners still accept, as its kernel would.
+// A cut link delays data until it is healed, as TCP does. The listeners of a frozen host still
+// accept connections, as its kernel would.
 package memnet
 
 import (
@@ -21,25 +21,25 @@
 	"time"
 )
 
-// Network is safe for concurrent use.
+// Network is an in-memory network of hosts. It is safe for concurrent use.
 type Network struct {
 	latency func(from, to netip.Addr) time.Duration
 
 	mu        sync.Mutex
 	listeners map[netip.AddrPort]*listener
 	links     map[*link]bool
-	cuts      map[direction]bool
+	cuts      map[hostPair]bool
 	frozen    map[netip.Addr]bool
-	ports     map[netip.Addr]uint16
+	lastPorts map[netip.Addr]uint16
 	sent      map[Flow]int64
-	meters    map[netip.Addr]meters
-	// changed is closed and replaced when a cut or a freeze changes.
+	limiters  map[netip.Addr]limiters
+	// changed is closed and replaced when cuts or frozen change.
 	changed chan struct{}
 }
 
-type direction struct{ from, to netip.Addr }
+type hostPair struct{ from, to netip.Addr }
 
-// New returns a network whose links have the given one-way latency; nil is
+// New returns a network whose links have the given one-way latency. If latency is nil there is
 // none.
 func New(latency func(from, to netip.Addr) time.Duration) *Network {
 	if latency == nil {
@@ -49,62 +49,63 @@
 		latency:   latency,
 		listeners: make(map[netip.AddrPort]*listener),
 		links:     make(map[*link]bool),
-		cuts:      make(map[direction]bool),
+		cuts:      make(map[hostPair]bool),
 		frozen:    make(map[netip.Addr]bool),
-		ports:     make(map[netip.Addr]uint16),
+		lastPorts: make(map[netip.Addr]uint16),
 		sent:      make(map[Flow]int64),
-		meters:    make(map[netip.Addr]meters),
+		limiters:  make(map[netip.Addr]limiters),
 		changed:   make(chan struct{}),
 	}
 }
 
-// Flow is what one host sends another on connections to a port, its own or the
-// other's.
+// Flow identifies the data that one host sends another on connections to a port, which may be a
+// port of either host.
 type Flow struct {
 	From netip.Addr
 	To   netip.Addr
 	Port uint16
 }
 
-// Sent returns how many bytes each flow has carried so far.
+// Sent returns the number of bytes sent on each flow so far.
 func (n *Network) Sent() map[Flow]int64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return maps.Clone(n.sent)
 }
 
-func (n *Network) count(f Flow, bytes int) {
+func (n *Network) addSent(f Flow, bytes int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.sent[f] += int64(bytes)
 }
 
-func (n *Network) change(do func()) {
+func (n *Network) update(f func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	do()
+	f()
 	close(n.changed)
 	n.changed = make(chan struct{})
 }
 
-// Cut holds back what goes from one host to another, in that direction only.
+// Cut delays all data from one host to another until the cut is healed. The other direction is not
+// affected.
 func (n *Network) Cut(from, to netip.Addr) {
-	n.change(func() { n.cuts[direction{from, to}] = true })
+	n.update(func() { n.cuts[hostPair{from, to}] = true })
 }
 
-// Heal ends a cut.
+// Heal removes the cut from one host to another.
 func (n *Network) Heal(from, to netip.Addr) {
-	n.change(func() { delete(n.cuts, direction{from, to}) })
+	n.update(func() { delete(n.cuts, hostPair{from, to}) })
 }
 
-// HealAll ends all cuts.
+// HealAll removes all cuts.
 func (n *Network) HealAll() {
-	n.change(func() { clear(n.cuts) })
+	n.update(func() { clear(n.cuts) })
 }
 
-// Freeze holds back all that goes to and from a host, or lets it through.
+// Freeze delays all data to and from a host if frozen is true, and delivers it again if not.
 func (n *Network) Freeze(host netip.Addr, frozen bool) {
-	n.change(func() {
+	n.update(func() {
 		if frozen {
 			n.frozen[host] = true
 			return
@@ -135,7 +136,7 @@
 			listeners = append(listeners, l)
 		}
 	}
-	links := n.open(func(from, to netip.Addr) bool { return from == host || to == host })
+	links := n.matchingLinks(func(from, to netip.Addr) bool { return from == host || to == host })
 	n.mu.Unlock()
 	for _, l := range listeners {
 		_ = l.Close()
@@ -146,21 +147,21 @@
 	n.Freeze(host, false)
 }
 
-// Silence makes the open connections between hosts that match silent for good:
-// what is written is swallowed, nothing arrives, and neither end hears of an
-// error or of the other's close. New connections work. from is the host that
-// connected.
+// Silence permanently silences the open connections between hosts for which match returns true:
+// written data is discarded, nothing arrives, and neither end sees an error or the close of the
+// other. New connections work. The from parameter of match is the host that dialed.
 func (n *Network) Silence(match func(from, to netip.Addr) bool) {
 	n.mu.Lock()
-	links := n.open(match)
+	links := n.matchingLinks(match)
 	n.mu.Unlock()
 	for _, l := range links {
 		l.silent.Store(true)
 	}
 }
 
-// open returns the links between hosts that match. The mutex must be held.
-func (n *Network) open(match func(from, to netip.Addr) bool) []*link {
+// matchingLinks returns the open links between hosts for which match returns true. The mutex must
+// be held.
+func (n *Network) matchingLinks(match func(from, to netip.Addr) bool) []*link {
 	var links []*link
 	for l := range n.links {
 		if match(l.from, l.to) {
@@ -170,14 +171,14 @@
 	return links
 }
 
-// wait blocks while data may not go from one host to another, and reports
-// false if stop is closed first.
-func (n *Network) wait(from, to netip.Addr, stop <-chan struct{}) bool {
+// awaitDelivery blocks while data from one host to another is delayed. It reports false if stop is
+// closed first.
+func (n *Network) awaitDelivery(from, to netip.Addr, stop <-chan struct{}) bool {
 	for {
 		n.mu.Lock()
 		changed := n.changed
 		n.mu.Unlock()
-		if !n.holds(from, to) {
+		if !n.isDelayed(from, to) {
 			return true
 		}
 		select {
@@ -188,20 +189,20 @@
 	}
 }
 
-// holds reports whether data may not go from one host to another.
-func (n *Network) holds(from, to netip.Addr) bool {
+// isDelayed reports whether data from one host to another is delayed by a cut or a frozen host.
+func (n *Network) isDelayed(from, to netip.Addr) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.cuts[direction{from, to}] || n.frozen[from] || n.frozen[to]
+	return n.cuts[hostPair{from, to}] || n.frozen[from] || n.frozen[to]
 }
 
-func (n *Network) isCut(from, to netip.Addr) bool {
+func (n *Network) blocksDial(from, to netip.Addr) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.cuts[direction{from, to}] || n.cuts[direction{to, from}] || n.frozen[from]
+	return n.cuts[hostPair{from, to}] || n.cuts[hostPair{to, from}] || n.frozen[from]
 }
 
-// Listen listens at address.
+// Listen listens on address. It returns an error if the address is in use.
 func (n *Network) Listen(address netip.AddrPort) (net.Listener, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -213,7 +214,7 @@
 	return l, nil
 }
 
-// Dialer returns a dial function for a host.
+// Dialer returns a dial function for a host. Addresses must be IP addresses with a port.
 func (n *Network) Dialer(host netip.Addr) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, _, address string) (net.Conn, error) {
 		to, err := netip.ParseAddrPort(address)
@@ -229,7 +230,7 @@
 }
 
 func (n *Network) dial(ctx context.Context, from netip.Addr, to netip.AddrPort) (net.Conn, error) {
-	for n.isCut(from, to.Addr()) {
+	for n.blocksDial(from, to.Addr()) {
 		n.mu.Lock()
 		changed := n.changed
 		n.mu.Unlock()
@@ -248,17 +249,17 @@
 		n.mu.Unlock()
 		return nil, fmt.Errorf("memnet: connection to %s: %w", to, syscall.ECONNREFUSED)
 	}
-	n.ports[from]++
-	local := netip.AddrPortFrom(from, 30000+n.ports[from]%30000)
+	n.lastPorts[from]++
+	local := netip.AddrPortFrom(from, 30000+n.lastPorts[from]%30000)
 	n.mu.Unlock()
-	near, far, k := n.newLink(local, to)
+	near, far, opened := n.newLink(local, to)
 	select {
 	case l.conns <- far:
 		return near, nil
 	case <-l.done:
 	case <-ctx.Done():
 	}
-	_ = k.Close()
+	_ = opened.Close()
 	return nil, fmt.Errorf("memnet: connection to %s: %w", to, syscall.ECONNREFUSED)
 }
 
@@ -284,7 +285,7 @@
 	once    sync.Once
 }
 
-// Accept returns the next connection.
+// Accept waits for the next connection. It returns net.ErrClosed once the listener is closed.
 func (l *listener) Accept() (net.Conn, error) {
 	select {
 	case c := <-l.conns:
@@ -294,7 +295,7 @@
 	}
 }
 
-// Close frees the address.
+// Close closes the listener and frees its address.
 func (l *listener) Close() error {
 	l.once.Do(func() {
 		l.network.mu.Lock()
@@ -307,7 +308,7 @@
 	return nil
 }
 
-// Addr returns the address listened at.
+// Addr returns the address of the listener.
 func (l *listener) Addr() net.Addr {
 	return net.TCPAddrFromAddrPort(l.address)
 }
--- a/internal/memnet/memnet_test.go
+++ b/internal/memnet/memnet_test.go
@@ -22,13 +22,13 @@
 	far  = netip.MustParseAddrPort("10.0.0.2:80")
 )
 
-const oneWay = 5 * time.Millisecond
+const oneWayLatency = 5 * time.Millisecond
 
-// withEcho connects near to a host that sends back what it gets.
+// withEcho calls do with a connection from near to a host that echoes all data.
 func withEcho(t *testing.T, do func(n *memnet.Network, c net.Conn)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		n := memnet.New(func(_, _ netip.Addr) time.Duration { return oneWay })
+		n := memnet.New(func(_, _ netip.Addr) time.Duration { return oneWayLatency })
 		l, err := n.Listen(far)
 		assert.NilError(t, err)
 		go func() {
@@ -63,36 +63,36 @@
 	}
 }
 
-// ask sends a byte and returns how long it took to come back.
-func ask(c net.Conn) (time.Duration, error) {
-	began := time.Now()
+// roundTrip sends a byte and returns the time until it has been echoed.
+func roundTrip(c net.Conn) (time.Duration, error) {
+	start := time.Now()
 	if _, err := c.Write([]byte("x")); err != nil {
 		return 0, err
 	}
-	_ = c.SetReadDeadline(began.Add(3 * time.Second))
+	_ = c.SetReadDeadline(start.Add(3 * time.Second))
 	_, err := c.Read(make([]byte, 1))
-	return time.Since(began), err
+	return time.Since(start), err
 }
 
-func TestBytesTakeTheirWayBothWays(t *testing.T) {
+func TestRoundTripTakesTwiceOneWayLatency(t *testing.T) {
 	withEcho(t, func(_ *memnet.Network, c net.Conn) {
-		took, err := ask(c)
+		took, err := roundTrip(c)
 		assert.NilError(t, err)
-		assert.Equal(t, took, 2*oneWay)
+		assert.Equal(t, took, 2*oneWayLatency)
 	})
 }
 
-func TestACutHoldsBytesUntilItHeals(t *testing.T) {
+func TestCutDelaysDataUntilHealed(t *testing.T) {
 	withEcho(t, func(n *memnet.Network, c net.Conn) {
 		n.Cut(near, far.Addr())
 		time.AfterFunc(time.Second, func() { n.Heal(near, far.Addr()) })
-		took, err := ask(c)
+		took, err := roundTrip(c)
 		assert.NilError(t, err)
 		assert.Assert(t, took >= time.Second, "took %v", took)
 	})
 }
 
-func TestACutHoldsNewConnections(t *testing.T) {
+func TestCutBlocksNewConnections(t *testing.T) {
 	withEcho(t, func(n *memnet.Network, _ net.Conn) {
 		n.Cut(far.Addr(), near)
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
@@ -102,25 +102,25 @@
 	})
 }
 
-func TestAFrozenHostSendsNothing(t *testing.T) {
+func TestFrozenHostSendsNothing(t *testing.T) {
 	withEcho(t, func(n *memnet.Network, c net.Conn) {
 		n.Freeze(far.Addr(), true)
 		time.AfterFunc(time.Second, func() { n.Freeze(far.Addr(), false) })
-		took, err := ask(c)
+		took, err := roundTrip(c)
 		assert.NilError(t, err)
 		assert.Assert(t, took >= time.Second, "took %v", took)
 	})
 }
 
-func TestAKilledHostCutsItsConnections(t *testing.T) {
+func TestKillResetsConnections(t *testing.T) {
 	withEcho(t, func(n *memnet.Network, c net.Conn) {
 		n.Kill(far.Addr())
-		_, err := ask(c)
+		_, err := roundTrip(c)
 		assert.Assert(t, err != nil)
 	})
 }
 
-func TestASilentConnectionTellsNothing(t *testing.T) {
+func TestSilencedConnectionDeliversNothing(t *testing.T) {
 	withEcho(t, func(n *memnet.Network, c net.Conn) {
 		n.Silence(func(from, to netip.Addr) bool { return from == near && to == far.Addr() })
 		_, err := c.Write([]byte("x"))
@@ -128,22 +128,22 @@
 		assert.NilError(t, c.SetReadDeadline(time.Now().Add(time.Hour)))
 		_, err = c.Read(make([]byte, 1))
 		assert.ErrorIs(t, err, os.ErrDeadlineExceeded)
-		other, err := n.Dialer(near)(context.Background(), "tcp", far.String())
+		newConn, err := n.Dialer(near)(context.Background(), "tcp", far.String())
 		assert.NilError(t, err)
-		_, err = other.Write([]byte("y"))
+		_, err = newConn.Write([]byte("y"))
 		assert.NilError(t, err)
-		one := make([]byte, 1)
-		_, err = other.Read(one)
+		buffer := make([]byte, 1)
+		_, err = newConn.Read(buffer)
 		assert.NilError(t, err)
-		assert.Equal(t, string(one), "y")
-		assert.NilError(t, other.Close())
-		// The far end never hears of the close; killing its host ends it.
+		assert.Equal(t, string(buffer), "y")
+		assert.NilError(t, newConn.Close())
+		// The far end does not see the close. Killing its host closes it.
 		assert.NilError(t, c.Close())
 		n.Kill(far.Addr())
 	})
 }
 
-func TestAHostThatDiesBehindASilentConnectionIsNotHeard(t *testing.T) {
+func TestSilencedConnectionHidesKilledHost(t *testing.T) {
 	withEcho(t, func(n *memnet.Network, c net.Conn) {
 		n.Silence(func(_, _ netip.Addr) bool { return true })
 		n.Kill(far.Addr())
--- a/internal/memnet/rate.go
+++ b/internal/memnet/rate.go
@@ -9,76 +9,75 @@
 	"time"
 )
 
-// Rate is the bandwidth of a host's link in bytes a second, by direction; 0 is
-// not limited.
+// Rate is the bandwidth of a host in bytes per second, by direction. 0 means unlimited.
 type Rate struct {
 	Out float64
 	In  float64
 }
 
-// Mbit returns a rate of so many Mbit/s each way.
+// Mbit returns a Rate of the given Mbit/s in both directions.
 func Mbit(rate float64) Rate {
 	const bytes = 1e6 / 8
 	return Rate{Out: rate * bytes, In: rate * bytes}
 }
 
-// SetRate limits a host's link for all connections made afterwards. Their bytes
-// queue in order of arrival, each direction by itself, and each has at most 76 KiB
-// under way, so that writers are held up as by TCP, and shares are even.
+// SetRate limits the bandwidth of a host for all connections opened afterwards. Their bytes queue
+// in order of arrival, separately in each direction. Each connection has at most 76 KiB in flight,
+// so that writers block as with TCP and connections get equal shares.
 func (n *Network) SetRate(host netip.Addr, r Rate) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.meters[host] = meters{out: newMeter(r.Out), in: newMeter(r.In)}
+	n.limiters[host] = limiters{out: newLimiter(r.Out), in: newLimiter(r.In)}
 }
 
-type meters struct{ out, in *meter }
+type limiters struct{ out, in *limiter }
 
-// way is one direction of a link.
-type way struct {
+// direction is one direction of a link, with the limiters of the sender and the receiver.
+type direction struct {
 	from, to netip.Addr
-	out, in  *meter
+	out, in  *limiter
 }
 
-func (n *Network) newWay(from, to netip.Addr) way {
+func (n *Network) newDirection(from, to netip.Addr) direction {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return way{from: from, to: to, out: n.meters[from].out, in: n.meters[to].in}
+	return direction{from: from, to: to, out: n.limiters[from].out, in: n.limiters[to].in}
 }
 
-func (w way) limited() bool { return w.out != nil || w.in != nil }
+func (d direction) limited() bool { return d.out != nil || d.in != nil }
 
-// meter is one direction of a host's link; nil is not limited.
-type meter struct {
+// limiter is the rate limiter of one direction of a host. A nil limiter does not limit.
+type limiter struct {
 	rate float64
 
 	mu sync.Mutex
-	// free is when all that was taken has gone through.
-	free time.Time
+	// freeAt is when all bytes reserved so far have passed.
+	freeAt time.Time
 }
 
-func newMeter(rate float64) *meter {
+func newLimiter(rate float64) *limiter {
 	if rate <= 0 {
 		return nil
 	}
-	return &meter{rate: rate}
+	return &limiter{rate: rate}
 }
 
-// take returns how long it is until so many more bytes have gone through.
-func (m *meter) take(bytes int) time.Duration {
-	if m == nil {
+// reserve queues a number of bytes and returns the time until they have passed.
+func (lim *limiter) reserve(bytes int) time.Duration {
+	if lim == nil {
 		return 0
 	}
-	m.mu.Lock()
-	defer m.mu.Unlock()
+	lim.mu.Lock()
+	defer lim.mu.Unlock()
 	now := time.Now()
-	if m.free.Before(now) {
-		m.free = now
+	if lim.freeAt.Before(now) {
+		lim.freeAt = now
 	}
-	m.free = m.free.Add(time.Duration(float64(bytes) / m.rate * float64(time.Second)))
-	return m.free.Sub(now)
+	lim.freeAt = lim.freeAt.Add(time.Duration(float64(bytes) / lim.rate * float64(time.Second)))
+	return lim.freeAt.Sub(now)
 }
 
-func pause(d time.Duration, stop <-chan struct{}) bool {
+func sleepOrStop(d time.Duration, stop <-chan struct{}) bool {
 	if d <= 0 {
 		return true
 	}
