--- a/internal/standin/cache.go
+++ b/internal/standin/cache.go
@@ -15,79 +15,82 @@
 )
 
 const (
-	// cacheSize is how many prefixes an engine's memory holds.
+	// cacheSize is the number of prefixes that an engine caches. maxEvents is the number of
+	// cache events that it keeps.
 	cacheSize = 4
 	maxEvents = 1024
 )
 
-// cache is an engine's prefix cache with its events.
+// cache is the prefix cache of an engine with its events.
 type cache struct {
 	mu sync.Mutex
-	// held has the prefixes, the least recently used first.
-	held   []uint64
-	events []cacheEvent
-	next   uint64
+	// prefixes has the cached prefixes, the least recently used first.
+	prefixes     []uint64
+	events       []cacheEvent
+	lastSequence uint64
 }
 
 type cacheEvent struct {
 	protocol.CacheEvent
-	at   time.Time
-	lost bool
+	createdAt time.Time
+	lost      bool
 }
 
-// use reports whether a prefix was held, and holds it from now on.
-func (c *cache) use(prefix uint64, lost bool) bool {
+// lookupOrAdd reports whether a prefix was cached, and caches it. If lost is true, readers do not get the
+// events of this change.
+func (c *cache) lookupOrAdd(prefix uint64, lost bool) bool {
 	if prefix == 0 {
 		return false
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	i := slices.Index(c.held, prefix)
+	i := slices.Index(c.prefixes, prefix)
 	if i >= 0 {
-		c.held = append(slices.Delete(c.held, i, i+1), prefix)
+		c.prefixes = append(slices.Delete(c.prefixes, i, i+1), prefix)
 		return true
 	}
-	c.held = append(c.held, prefix)
-	c.note(prefix, true, lost)
-	if len(c.held) > cacheSize {
-		c.note(c.held[0], false, lost)
-		c.held = c.held[1:]
+	c.prefixes = append(c.prefixes, prefix)
+	c.addEvent(prefix, true, lost)
+	if len(c.prefixes) > cacheSize {
+		c.addEvent(c.prefixes[0], false, lost)
+		c.prefixes = c.prefixes[1:]
 	}
 	return false
 }
 
-func (c *cache) note(prefix uint64, stored, lost bool) {
-	c.next++
+func (c *cache) addEvent(prefix uint64, stored, lost bool) {
+	c.lastSequence++
 	c.events = append(c.events, cacheEvent{
-		CacheEvent: protocol.CacheEvent{Sequence: c.next, Stored: stored, Prefix: prefix},
-		at:         time.Now(),
+		CacheEvent: protocol.CacheEvent{Sequence: c.lastSequence, Stored: stored, Prefix: prefix},
+		createdAt:  time.Now(),
 		lost:       lost,
 	})
 	c.events = c.events[max(len(c.events)-maxEvents, 0):]
 }
 
-// after returns the events that a reader sees.
-func (c *cache) after(sequence uint64, lag time.Duration) protocol.CacheEvents {
+// eventsAfter returns the events after a sequence number that are at least lag old, without lost
+// ones.
+func (c *cache) eventsAfter(sequence uint64, lag time.Duration) protocol.CacheEvents {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	seen := protocol.CacheEvents{Events: []protocol.CacheEvent{}, Next: sequence}
+	visible := protocol.CacheEvents{Events: []protocol.CacheEvent{}, Next: sequence}
 	for _, e := range c.events {
-		if e.Sequence <= sequence || time.Since(e.at) < lag {
+		if e.Sequence <= sequence || time.Since(e.createdAt) < lag {
 			continue
 		}
-		seen.Next = e.Sequence
+		visible.Next = e.Sequence
 		if !e.lost {
-			seen.Events = append(seen.Events, e.CacheEvent)
+			visible.Events = append(visible.Events, e.CacheEvent)
 		}
 	}
-	return seen
+	return visible
 }
 
-func (e *Engine) cacheEvents(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) handleCacheEvents(w http.ResponseWriter, r *http.Request) {
 	after, err := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	if err != nil {
 		http.Error(w, "want after=SEQUENCE", http.StatusBadRequest)
 		return
 	}
-	_ = wire.Write(w, http.StatusOK, e.cache.after(after, e.get().EventLag))
+	_ = wire.Write(w, http.StatusOK, e.cache.eventsAfter(after, e.currentKnobs().EventLag))
 }
--- a/internal/standin/configuration.go
+++ b/internal/standin/configuration.go
@@ -17,19 +17,19 @@
 	"github.com/wingvale/wingvale/internal/wire"
 )
 
-// Configuration is the configuration service with its host list. It keeps
-// every change, so that it can answer as of any revision.
+// Configuration is the configuration service with its host list. It keeps every change, so that it
+// can answer with the state at any revision.
 type Configuration struct {
 	mu     sync.Mutex
 	spaces map[publisher.Space]*history
 	down   bool
-	// stale has the revision that a reader is answered as of; the zero
-	// address stands for all readers.
+	// stale has the revision whose state a reader gets. The zero address stands for all
+	// readers.
 	stale map[staleKey]uint64
-	// forks has other bytes under the same revision, for some readers.
-	forks map[forkKey]string
-	lag   time.Duration
-	calls int
+	// forks has, for some readers, another value under the same revision of a key.
+	forks   map[forkKey]string
+	hostLag time.Duration
+	calls   int
 }
 
 type forkKey struct {
@@ -51,10 +51,10 @@
 
 type change struct {
 	publisher.Item
-	at time.Time
+	publishedAt time.Time
 }
 
-// NewConfiguration returns a service without values.
+// NewConfiguration returns a Configuration without values.
 func NewConfiguration() *Configuration {
 	return &Configuration{
 		spaces: map[publisher.Space]*history{
@@ -66,44 +66,44 @@
 	}
 }
 
-// Fork makes the service show one reader other bytes under a revision of the
-// configuration, which is a fault.
+// Fork injects a fault: the service shows one reader another value for a key under a revision of
+// the configuration.
 func (c *Configuration) Fork(reader netip.Addr, key string, revision uint64, value string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.forks[forkKey{reader: reader, key: key, revision: revision}] = value
 }
 
-// Publish sets key and returns its revision.
+// Publish sets a key and returns the revision of the change.
 func (c *Configuration) Publish(space publisher.Space, key, value string) uint64 {
-	return c.add(space, publisher.Item{Key: key, Value: value})
+	return c.addChange(space, publisher.Item{Key: key, Value: value})
 }
 
-// Remove removes key and returns the revision of that.
+// Remove removes a key and returns the revision of the change.
 func (c *Configuration) Remove(space publisher.Space, key string) uint64 {
-	return c.add(space, publisher.Item{Key: key, Removed: true})
+	return c.addChange(space, publisher.Item{Key: key, Removed: true})
 }
 
-func (c *Configuration) add(space publisher.Space, i publisher.Item) uint64 {
+func (c *Configuration) addChange(space publisher.Space, item publisher.Item) uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	h := c.spaces[space]
-	i.Revision = uint64(len(h.changes)) + 1
-	h.changes = append(h.changes, change{Item: i, at: time.Now()})
+	item.Revision = uint64(len(h.changes)) + 1
+	h.changes = append(h.changes, change{Item: item, publishedAt: time.Now()})
 	close(h.changed)
 	h.changed = make(chan struct{})
-	return i.Revision
+	return item.Revision
 }
 
-// SetDown makes the service answer nothing, or answer again.
+// SetDown makes the service refuse all calls with status 503 if down is true, or answer again.
 func (c *Configuration) SetDown(down bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.down = down
 }
 
-// SetStale makes the service answer as of a revision, to one reader or, with
-// the zero address, to all. Revision 0 ends that.
+// SetStale makes the service answer one reader with the state at an older revision, or all readers
+// if the address is zero. Revision 0 ends that.
 func (c *Configuration) SetStale(space publisher.Space, reader netip.Addr, revision uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -114,33 +114,33 @@
 	c.stale[staleKey{space: space, reader: reader}] = revision
 }
 
-// SetHostLag makes the host list answer as of that long ago.
+// SetHostLag makes the service answer with the state of the host list of the given time ago.
 func (c *Configuration) SetHostLag(lag time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.lag = lag
+	c.hostLag = lag
 }
 
-// Calls returns how many calls were made; a watch counts as one.
+// Calls returns the number of calls received. A watch counts as one call.
 func (c *Configuration) Calls() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.calls
 }
 
-// Revision returns the latest revision of space.
+// Revision returns the latest revision of a space.
 func (c *Configuration) Revision(space publisher.Space) uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return uint64(len(c.spaces[space].changes))
 }
 
-// visible returns the revision that a reader is answered as of.
-func (c *Configuration) visible(space publisher.Space, reader netip.Addr) uint64 {
+// visibleRevision returns the revision whose state a reader gets.
+func (c *Configuration) visibleRevision(space publisher.Space, reader netip.Addr) uint64 {
 	h := c.spaces[space]
 	revision := uint64(len(h.changes))
-	if space == publisher.SpaceHosts && c.lag > 0 {
-		for revision > 0 && time.Since(h.changes[revision-1].at) < c.lag {
+	if space == publisher.SpaceHosts && c.hostLag > 0 {
+		for revision > 0 && time.Since(h.changes[revision-1].publishedAt) < c.hostLag {
 			revision--
 		}
 	}
@@ -152,39 +152,40 @@
 	return revision
 }
 
-// since returns the latest item of each key that changed after a revision.
-func (c *Configuration) since(space publisher.Space, reader netip.Addr, after uint64) publisher.Values {
+// changesAfter returns the latest item of each key that changed after a revision, as a reader sees
+// it. After revision 0 it omits removed keys.
+func (c *Configuration) changesAfter(space publisher.Space, reader netip.Addr, after uint64) publisher.Values {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	v := publisher.Values{Revision: c.visible(space, reader), Values: []publisher.Item{}}
+	values := publisher.Values{Revision: c.visibleRevision(space, reader), Values: []publisher.Item{}}
 	latest := make(map[string]publisher.Item)
-	for _, ch := range c.spaces[space].changes[:v.Revision] {
+	for _, ch := range c.spaces[space].changes[:values.Revision] {
 		latest[ch.Key] = ch.Item
 	}
-	for _, i := range latest {
-		if other, ok := c.forks[forkKey{reader: reader, key: i.Key, revision: i.Revision}]; ok {
-			i.Value = other
+	for _, item := range latest {
+		if forked, ok := c.forks[forkKey{reader: reader, key: item.Key, revision: item.Revision}]; ok {
+			item.Value = forked
 		}
-		if i.Revision > after && (after > 0 || !i.Removed) {
-			v.Values = append(v.Values, i)
+		if item.Revision > after && (after > 0 || !item.Removed) {
+			values.Values = append(values.Values, item)
 		}
 	}
-	return v
+	return values
 }
 
-// Handler serves the platform's protocol.
+// Handler returns a handler for the protocol of the platform.
 func (c *Configuration) Handler() http.Handler {
 	r := chi.NewRouter()
 	r.Get("/v1/spaces/{space}/values", func(w http.ResponseWriter, r *http.Request) {
-		if space, reader, ok := c.begin(w, r); ok {
-			_ = wire.Write(w, http.StatusOK, c.since(space, reader, 0))
+		if space, reader, ok := c.startCall(w, r); ok {
+			_ = wire.Write(w, http.StatusOK, c.changesAfter(space, reader, 0))
 		}
 	})
 	r.Get("/v1/spaces/{space}/watch", c.watch)
 	return r
 }
 
-func (c *Configuration) begin(w http.ResponseWriter, r *http.Request) (publisher.Space, netip.Addr, bool) {
+func (c *Configuration) startCall(w http.ResponseWriter, r *http.Request) (publisher.Space, netip.Addr, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.calls++
@@ -202,38 +203,40 @@
 }
 
 const (
-	maxWait   = time.Minute
-	watchTick = 100 * time.Millisecond
+	// maxWatchTime limits how long a watch may wait.
+	maxWatchTime = time.Minute
+	// hostLagPollInterval is how often a watch checks for changes while the host list lags.
+	hostLagPollInterval = 100 * time.Millisecond
 )
 
 func (c *Configuration) watch(w http.ResponseWriter, r *http.Request) {
-	space, reader, ok := c.begin(w, r)
+	space, reader, ok := c.startCall(w, r)
 	if !ok {
 		return
 	}
-	after, err1 := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
-	wait, err2 := time.ParseDuration(r.URL.Query().Get("wait"))
-	if err1 != nil || err2 != nil || wait > maxWait {
+	after, afterErr := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
+	wait, waitErr := time.ParseDuration(r.URL.Query().Get("wait"))
+	if afterErr != nil || waitErr != nil || wait > maxWatchTime {
 		http.Error(w, "want after=REVISION and wait=TIME", http.StatusBadRequest)
 		return
 	}
-	_ = wire.Write(w, http.StatusOK, c.await(r, space, reader, after, time.Now().Add(wait)))
+	_ = wire.Write(w, http.StatusOK, c.awaitChanges(r, space, reader, after, time.Now().Add(wait)))
 }
 
-// await waits for something to have changed. A reader that has seen more than
-// the service now shows is answered as if nothing had.
-func (c *Configuration) await(r *http.Request, space publisher.Space, reader netip.Addr, after uint64, until time.Time) publisher.Values {
+// awaitChanges waits until items changed after a revision, or until the given time, and returns
+// them. A reader whose revision is newer than the one it is now shown gets no items.
+func (c *Configuration) awaitChanges(r *http.Request, space publisher.Space, reader netip.Addr, after uint64, deadline time.Time) publisher.Values {
 	for {
 		c.mu.Lock()
-		changed, lagging := c.spaces[space].changed, c.lag > 0
+		changed, lagging := c.spaces[space].changed, c.hostLag > 0
 		c.mu.Unlock()
-		v := c.since(space, reader, after)
-		if len(v.Values) > 0 || !time.Now().Before(until) {
-			return v
+		values := c.changesAfter(space, reader, after)
+		if len(values.Values) > 0 || !time.Now().Before(deadline) {
+			return values
 		}
-		wait := time.Until(until)
+		wait := time.Until(deadline)
 		if lagging {
-			wait = min(wait, watchTick)
+			wait = min(wait, hostLagPollInterval)
 		}
 		timer := time.NewTimer(wait)
 		select {
@@ -241,7 +244,7 @@
 		case <-timer.C:
 		case <-r.Context().Done():
 			timer.Stop()
-			return v
+			return values
 		}
 		timer.Stop()
 	}
--- a/internal/standin/data.go
+++ b/internal/standin/data.go
@@ -17,24 +17,24 @@
 	"github.com/wingvale/wingvale/internal/protocol"
 )
 
-// Document is one line of the small data set.
+// Document is one document of a data set. Score is its rank score in results.
 type Document struct {
 	ID    string  `json:"id"`
 	Text  string  `json:"text"`
 	Score float64 `json:"score,omitempty"`
 }
 
-// Vector is the result of an encoder.
+// Vector is the result of an encoder stage.
 type Vector struct {
 	Vector []float64 `json:"vector"`
 }
 
-// Found is the result of a retriever and of a reranker.
+// Found is the result of a retriever or reranker stage, the best documents first.
 type Found struct {
 	Documents []Document `json:"documents"`
 }
 
-// Ledger is the data set of a weather archive.
+// Ledger returns the data set of a weather archive.
 func Ledger() []Document {
 	return []Document{
 		{ID: "cluj-1904-07", Text: "Cluj station, July 1904: 31.2 degrees at noon, no rain for 23 days, the Somes stood low."},
@@ -48,7 +48,7 @@
 	}
 }
 
-// Recipes is the data set of a colour-mixing assistant.
+// Recipes returns the data set of a colour-mixing assistant.
 func Recipes() []Document {
 	return []Document{
 		{ID: "alpine-grey", Text: "Alpine grey: 6 parts white base, 2 parts lamp black, 1 part cobalt, stir for 4 minutes."},
@@ -63,9 +63,11 @@
 }
 
 const (
-	dimensions = 64
-	found      = 4
-	kept       = 2
+	// vectorDimensions is the length of vectors. retrievedCount and rerankedCount are the
+	// numbers of documents that a retriever and a reranker return.
+	vectorDimensions = 64
+	retrievedCount   = 4
+	rerankedCount    = 2
 )
 
 func words(text string) []string {
@@ -74,11 +76,11 @@
 	})
 }
 
-// Embed maps text to a unit vector by its words.
+// Embed returns a unit vector of the hashed words of text, or a zero vector if it has no words.
 func Embed(text string) []float64 {
-	v := make([]float64, dimensions)
+	v := make([]float64, vectorDimensions)
 	for _, w := range words(text) {
-		v[xxhash.Sum64String(w)%dimensions]++
+		v[xxhash.Sum64String(w)%vectorDimensions]++
 	}
 	norm := 0.0
 	for _, x := range v {
@@ -93,13 +95,13 @@
 	return v
 }
 
-// Encode is the job of an encoder.
+// Encode is the Job of an encoder stage.
 func Encode(call protocol.StageCall) (json.RawMessage, error) {
 	return json.Marshal(Vector{Vector: Embed(call.Input)})
 }
 
-// Retrieve returns the job of a retriever over documents. With no vector from a
-// stage before it makes its own.
+// Retrieve returns the Job of a retriever stage over documents. Without a vector from a previous
+// stage it embeds the input itself.
 func Retrieve(documents []Document) Job {
 	return func(call protocol.StageCall) (json.RawMessage, error) {
 		in := Vector{Vector: Embed(call.Input)}
@@ -108,16 +110,16 @@
 				return nil, err
 			}
 		}
-		scored := slices.Clone(documents)
-		for i := range scored {
-			scored[i].Score = dot(in.Vector, Embed(scored[i].Text))
+		ranked := slices.Clone(documents)
+		for i := range ranked {
+			ranked[i].Score = dot(in.Vector, Embed(ranked[i].Text))
 		}
-		return json.Marshal(Found{Documents: top(scored, found)})
+		return json.Marshal(Found{Documents: topDocuments(ranked, retrievedCount)})
 	}
 }
 
-// Rerank is the job of a reranker: documents that share more words with the
-// question come first.
+// Rerank is the Job of a reranker stage. Documents that share more words with the question come
+// first.
 func Rerank(call protocol.StageCall) (json.RawMessage, error) {
 	var in Found
 	if len(call.Previous) > 0 {
@@ -125,18 +127,18 @@
 			return nil, err
 		}
 	}
-	asked := words(call.Input)
+	questionWords := words(call.Input)
 	for i := range in.Documents {
 		shared := 0
-		has := words(in.Documents[i].Text)
-		for _, w := range asked {
-			if slices.Contains(has, w) {
+		documentWords := words(in.Documents[i].Text)
+		for _, w := range questionWords {
+			if slices.Contains(documentWords, w) {
 				shared++
 			}
 		}
 		in.Documents[i].Score = float64(shared)
 	}
-	return json.Marshal(Found{Documents: top(in.Documents, kept)})
+	return json.Marshal(Found{Documents: topDocuments(in.Documents, rerankedCount)})
 }
 
 func dot(a, b []float64) float64 {
@@ -147,7 +149,7 @@
 	return sum
 }
 
-func top(documents []Document, count int) []Document {
+func topDocuments(documents []Document, count int) []Document {
 	slices.SortFunc(documents, func(a, b Document) int {
 		if c := cmp.Compare(b.Score, a.Score); c != 0 {
 			return c
@@ -157,11 +159,11 @@
 	return documents[:min(count, len(documents))]
 }
 
-// maxTimes bounds how often an answer is given over.
-const maxTimes = 100
+// maxRepeats limits how often an answer is repeated.
+const maxRepeats = 100
 
-// times returns how often to answer: N for a prompt that ends in "N times".
-func times(prompt string) int {
+// repeatCount returns how often to repeat an answer: N for a prompt that ends in "N times", otherwise 1.
+func repeatCount(prompt string) int {
 	f := strings.Fields(prompt)
 	if len(f) < 2 || f[len(f)-1] != "times" {
 		return 1
@@ -170,25 +172,25 @@
 	if err != nil {
 		return 1
 	}
-	return min(max(n, 1), maxTimes)
+	return min(max(n, 1), maxRepeats)
 }
 
-// Compose is the job of an engine: it answers with the first document in the
-// prompt, or with the prompt's last line where there is none. A question that
-// ends in "N times" is answered so often over, which makes a long stream.
+// Compose returns the answer of an engine to a prompt: the first document in the prompt, or the
+// last line of the prompt if it has no document. For a question that ends in "N times" the answer
+// is repeated N times, which makes a long stream.
 func Compose(prompt string) string {
 	for line := range strings.Lines(prompt) {
 		var in Found
 		if json.Unmarshal([]byte(strings.TrimSpace(line)), &in) == nil && len(in.Documents) > 0 {
 			answer := fmt.Sprintf("%s [%s]", in.Documents[0].Text, in.Documents[0].ID)
-			return strings.Join(slices.Repeat([]string{answer}, times(prompt)), " ")
+			return strings.Join(slices.Repeat([]string{answer}, repeatCount(prompt)), " ")
 		}
 	}
 	lines := strings.Split(strings.TrimSpace(prompt), "\n")
 	return lines[len(lines)-1]
 }
 
-// Expected returns what the four stages must answer to input, word for word.
+// Expected returns the exact text that the four stages must answer to input.
 func Expected(documents []Document, input string) (string, error) {
 	encoded, err := Encode(protocol.StageCall{Input: input})
 	if err != nil {
@@ -205,14 +207,14 @@
 	return Compose(string(reranked) + "\n" + input), nil
 }
 
-// Receipt is the result of a plain service.
+// Receipt is the result of a call to a plain service.
 type Receipt struct {
 	Service string `json:"service"`
 	Request string `json:"request"`
 	Input   string `json:"input"`
 }
 
-// Serve returns the job of a plain service: a receipt for what was asked.
+// Serve returns the Job of a plain service, which returns a Receipt for the call.
 func Serve(name string) Job {
 	return func(call protocol.StageCall) (json.RawMessage, error) {
 		return json.Marshal(Receipt{Service: name, Request: call.Request.String(), Input: call.Input})
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -19,44 +19,44 @@
 	"github.com/wingvale/wingvale/internal/wire"
 )
 
-// EngineOptions describe an engine.
+// EngineOptions configure an Engine.
 type EngineOptions struct {
 	Options
-	// Token is the time between two tokens of one stream.
+	// Token is the time between two tokens of a stream.
 	Token time.Duration
-	// Models are loaded at the start.
+	// Models are the models that are loaded at the start.
 	Models []protocol.Loaded
-	// MemoryBytes is what models share.
+	// MemoryBytes is the memory for all models, which the engine reports.
 	MemoryBytes int64
-	// Unchecked engines take any order, whatever its fence.
+	// Unchecked makes the engine accept any order, whatever its fence.
 	Unchecked bool
-	// Weights fetches a model's weights and returns their size. Nil loads at
-	// once.
+	// Weights fetches the weights of a model and returns their size in bytes. If it is nil,
+	// models are loaded at once.
 	Weights func(ctx context.Context, model, version string) (int64, error)
-	// Keep is how long an ended stream may be resumed.
+	// Keep is how long an ended stream can still be resumed. The default is one minute.
 	Keep time.Duration
 }
 
-// Engine is a model engine. Close must be called.
+// Engine is a stand-in for a model engine. The caller must call Close.
 type Engine struct {
 	*server
-	options EngineOptions
-	ctx     context.Context
-	cancel  context.CancelFunc
-	loads   sync.WaitGroup
-	cache   cache
-
-	mu      sync.Mutex
-	streams map[string]*stream
-	models  []protocol.Loaded
-	sizes   map[string]int64
-	role    string
-	fence   uint64
-	orders  []protocol.Order
-	count   int
+	options    EngineOptions
+	ctx        context.Context
+	cancel     context.CancelFunc
+	background sync.WaitGroup
+	cache      cache
+
+	mu          sync.Mutex
+	streams     map[string]*stream
+	models      []protocol.Loaded
+	sizes       map[string]int64
+	role        string
+	fence       uint64
+	orders      []protocol.Order
+	streamCount int
 }
 
-// NewEngine returns an engine.
+// NewEngine returns an Engine.
 func NewEngine(o EngineOptions) *Engine {
 	if o.Keep <= 0 {
 		o.Keep = time.Minute
@@ -73,29 +73,29 @@
 	}
 }
 
-// Close ends all streams and loads.
+// Close ends all streams and model loads and waits for them.
 func (e *Engine) Close() {
 	e.cancel()
-	e.loads.Wait()
+	e.background.Wait()
 }
 
-// Handler serves the engine's protocol.
+// Handler returns a handler for the protocol of engines.
 func (e *Engine) Handler() http.Handler {
 	r := chi.NewRouter()
-	r.Post(protocol.PathCompletions, e.complete)
-	r.Get(protocol.PathStreams+"{id}", e.resume)
-	r.Delete(protocol.PathStreams+"{id}", e.drop)
-	r.Post(protocol.PathOrders, e.order)
-	r.Get(protocol.PathCacheEvents, e.cacheEvents)
+	r.Post(protocol.PathCompletions, e.handleCompletion)
+	r.Get(protocol.PathStreams+"{id}", e.handleResume)
+	r.Delete(protocol.PathStreams+"{id}", e.handleCancel)
+	r.Post(protocol.PathOrders, e.handleOrder)
+	r.Get(protocol.PathCacheEvents, e.handleCacheEvents)
 	r.Get(protocol.PathLoad, func(w http.ResponseWriter, _ *http.Request) {
 		_ = wire.Write(w, http.StatusOK, e.State())
 	})
 	return r
 }
 
-// State returns the engine's full report.
+// State returns the full load and model report of the engine.
 func (e *Engine) State() protocol.EngineState {
-	l := e.load()
+	l := e.currentLoad()
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	s := protocol.EngineState{
@@ -108,70 +108,70 @@
 	return s
 }
 
-func (e *Engine) holds(model string) bool {
+func (e *Engine) hasReadyModel(model string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.ContainsFunc(e.models, func(l protocol.Loaded) bool { return l.Model == model && l.Ready })
 }
 
-func (e *Engine) complete(w http.ResponseWriter, r *http.Request) {
-	named, body, ok := accept[protocol.Completion](e.server, w, r, e.options.MaxWaiting)
+func (e *Engine) handleCompletion(w http.ResponseWriter, r *http.Request) {
+	call, body, ok := acceptCall[protocol.Completion](e.server, w, r, e.options.MaxWaiting)
 	if !ok {
 		return
 	}
-	if !e.holds(body.Model) {
+	if !e.hasReadyModel(body.Model) {
 		e.refuse(w, r, http.StatusServiceUnavailable, "the model is not loaded")
 		return
 	}
-	if err := e.slots.enter(r.Context(), body.Priority); err != nil {
+	if err := e.slots.acquire(r.Context(), body.Priority); err != nil {
 		return
 	}
-	s := e.begin(named, body)
-	e.echo(w, r)
+	s := e.startStream(call, body)
+	e.setHeaders(w, r)
 	w.Header().Set(protocol.HeaderStream, s.id)
-	e.send(w, r, s, 0)
+	e.sendEvents(w, r, s, 0)
 }
 
-// begin starts to generate, whether or not anybody goes on reading. The slot
-// is already taken.
-func (e *Engine) begin(named backend.Call, body protocol.Completion) *stream {
-	arrival := e.arrived(named, question(body.Prompt))
+// startStream starts to generate an answer, which continues even if no reader remains. The caller
+// must hold a slot, which is released at the end.
+func (e *Engine) startStream(call backend.Call, body protocol.Completion) *stream {
+	arrival := e.recordArrival(call, extractQuestion(body.Prompt))
 	ctx, cancel := context.WithCancel(e.ctx)
 	e.mu.Lock()
-	e.count++
+	e.streamCount++
 	s := &stream{
-		id:      e.instance + "-" + strconv.Itoa(e.count),
-		owner:   named.Request,
-		model:   body.Model,
-		cancel:  cancel,
-		changed: make(chan struct{}),
+		id:        e.instance + "-" + strconv.Itoa(e.streamCount),
+		requestID: call.Request,
+		model:     body.Model,
+		cancel:    cancel,
+		changed:   make(chan struct{}),
 	}
 	e.streams[s.id] = s
 	e.mu.Unlock()
-	cached := e.cache.use(protocol.PrefixOf(body.Model, body.Adapter, body.Prompt), e.chance(e.get().EventGap))
-	e.loads.Go(func() {
-		defer e.slots.leave()
+	cached := e.cache.lookupOrAdd(protocol.PrefixOf(body.Model, body.Adapter, body.Prompt), e.withProbability(e.currentKnobs().EventGap))
+	e.background.Go(func() {
+		defer e.slots.release()
 		e.generate(ctx, s, body, cached)
-		e.finished(arrival)
-		e.forgetLater(s)
+		e.markFinished(arrival)
+		e.removeStreamLater(s)
 	})
 	return s
 }
 
-// question returns the caller's text, which the templates put last.
-func question(prompt string) string {
-	i := strings.LastIndex(prompt, questionMark)
+// extractQuestion returns the caller's input from a prompt. Templates put it last.
+func extractQuestion(prompt string) string {
+	i := strings.LastIndex(prompt, questionPrefix)
 	if i < 0 {
 		return ""
 	}
-	return strings.TrimSpace(prompt[i+len(questionMark):])
+	return strings.TrimSpace(prompt[i+len(questionPrefix):])
 }
 
-const questionMark = "Question: "
+const questionPrefix = "Question: "
 
-func (e *Engine) forgetLater(s *stream) {
-	e.loads.Go(func() {
-		pause(e.ctx, e.options.Keep)
+func (e *Engine) removeStreamLater(s *stream) {
+	e.background.Go(func() {
+		sleep(e.ctx, e.options.Keep)
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		delete(e.streams, s.id)
@@ -179,14 +179,14 @@
 }
 
 func (e *Engine) generate(ctx context.Context, s *stream, body protocol.Completion, cached bool) {
-	prefill := e.work()
+	prefill := e.callDuration()
 	usage := protocol.CompletionUsage{PromptTokens: len(strings.Fields(body.Prompt))}
 	if cached {
 		prefill /= 2
 		usage.CachedTokens = usage.PromptTokens / 2
 	}
-	if !pause(ctx, prefill) {
-		s.end(usage, true)
+	if !sleep(ctx, prefill) {
+		s.finish(usage, true)
 		return
 	}
 	tokens := strings.SplitAfter(Compose(body.Prompt), " ")
@@ -194,26 +194,26 @@
 		tokens = tokens[:min(body.MaxTokens, len(tokens))]
 	}
 	for i, t := range tokens {
-		if i > 0 && !pause(ctx, e.tokenTime()) {
-			s.end(usage, true)
+		if i > 0 && !sleep(ctx, e.tokenInterval()) {
+			s.finish(usage, true)
 			return
 		}
 		usage.CompletionTokens++
-		s.add(t)
+		s.addPiece(t)
 	}
-	s.end(usage, false)
+	s.finish(usage, false)
 }
 
-func (e *Engine) tokenTime() time.Duration {
-	k := e.get()
+func (e *Engine) tokenInterval() time.Duration {
+	k := e.currentKnobs()
 	if k.Slow > 0 {
 		return time.Duration(float64(e.options.Token) * k.Slow)
 	}
 	return e.options.Token
 }
 
-// pause waits for d and reports whether ctx let it.
-func pause(ctx context.Context, d time.Duration) bool {
+// sleep waits for d. It reports false if ctx is done before.
+func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/internal/standin/knobs.go
+++ b/internal/standin/knobs.go
@@ -9,76 +9,76 @@
 	"time"
 )
 
-// Knobs set how a backend server behaves. They may change at any time.
+// Knobs configure the behaviour and the faults of a backend server. They may change at any time.
 type Knobs struct {
-	// Work is how long one call takes, and Jitter spreads it by up to that
-	// share either way.
+	// Work is the duration of a call. It varies at random by up to the share Jitter in either
+	// direction.
 	Work   time.Duration
 	Jitter float64
-	// Slow multiplies Work; 0 is 1.
+	// Slow is a factor for Work and for the time between tokens. 0 means 1.
 	Slow float64
-	// Fail is the share of calls that end with status 500 after the work.
+	// Fail is the share of calls that fail with status 500 after the work is done.
 	Fail float64
-	// Refuse is the share of calls that are refused as not started.
+	// Refuse is the share of calls that are refused before they start.
 	Refuse float64
-	// Hang is the share of calls that never answer.
+	// Hang is the share of calls that are never answered.
 	Hang float64
-	// Mislabel is the share of answers that bear another request's name.
+	// Mislabel is the share of answers that have the name and the result of another request.
 	Mislabel float64
-	// Cut is the share of streams that break off in the middle.
+	// Cut is the share of streams whose connection is closed in the middle.
 	Cut float64
-	// ReportLag is how old the load is that answers report.
+	// ReportLag is the age of the load that answers report.
 	ReportLag time.Duration
-	// EventLag is how late cache events are shown, and EventGap the share of
-	// them that is lost.
+	// EventLag is the delay of cache events, and EventGap the share of calls whose cache events
+	// are lost.
 	EventLag time.Duration
 	EventGap float64
-	// Silent leaves the load report out of answers.
+	// Silent omits the load report from answers.
 	Silent bool
-	// Leaving makes the server say that it is leaving and refuse new calls.
+	// Leaving makes the server report that it is leaving and refuse new calls.
 	Leaving bool
 }
 
-// dial holds the knobs of one server.
-type dial struct {
+// behaviour has the knobs of one server and its source of random numbers.
+type behaviour struct {
 	mu     sync.Mutex
 	knobs  Knobs
 	random *rand.Rand
 }
 
-func newDial(knobs Knobs, seed uint64) *dial {
-	return &dial{knobs: knobs, random: rand.New(rand.NewPCG(seed, seed))}
+func newBehaviour(knobs Knobs, seed uint64) *behaviour {
+	return &behaviour{knobs: knobs, random: rand.New(rand.NewPCG(seed, seed))}
 }
 
-func (d *dial) get() Knobs {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.knobs
+func (b *behaviour) currentKnobs() Knobs {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.knobs
 }
 
-func (d *dial) set(change func(k *Knobs)) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	change(&d.knobs)
+func (b *behaviour) updateKnobs(change func(k *Knobs)) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	change(&b.knobs)
 }
 
-func (d *dial) chance(share float64) bool {
-	if share <= 0 {
+func (b *behaviour) withProbability(probability float64) bool {
+	if probability <= 0 {
 		return false
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.random.Float64() < share
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.random.Float64() < probability
 }
 
-// work returns how long the next call takes.
-func (d *dial) work() time.Duration {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	t := d.knobs.Work.Seconds()
-	if d.knobs.Slow > 0 {
-		t *= d.knobs.Slow
+// callDuration returns the duration of the next call.
+func (b *behaviour) callDuration() time.Duration {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	seconds := b.knobs.Work.Seconds()
+	if b.knobs.Slow > 0 {
+		seconds *= b.knobs.Slow
 	}
-	t *= 1 + d.knobs.Jitter*(2*d.random.Float64()-1)
-	return time.Duration(t * float64(time.Second))
+	seconds *= 1 + b.knobs.Jitter*(2*b.random.Float64()-1)
+	return time.Duration(seconds * float64(time.Second))
 }
--- a/internal/standin/order.go
+++ b/internal/standin/order.go
@@ -12,14 +12,14 @@
 	"github.com/wingvale/wingvale/request"
 )
 
-// Orders returns the orders that were taken.
+// Orders returns the orders that the engine has accepted, oldest first.
 func (e *Engine) Orders() []protocol.Order {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Clone(e.orders)
 }
 
-func (e *Engine) order(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) handleOrder(w http.ResponseWriter, r *http.Request) {
 	o, err := wire.ReadLoose[protocol.Order](r.Body, request.MaxBodyBytes)
 	if err != nil {
 		e.refuse(w, r, http.StatusBadRequest, err.Error())
@@ -33,14 +33,14 @@
 	}
 	e.fence = max(e.fence, o.Fence)
 	e.orders = append(e.orders, o)
-	e.take(o)
+	e.applyOrder(o)
 	e.mu.Unlock()
-	e.echo(w, r)
+	e.setHeaders(w, r)
 	_ = wire.Write(w, http.StatusOK, e.State())
 }
 
-// take carries an order out.
-func (e *Engine) take(o protocol.Order) {
+// applyOrder executes an order. The mutex must be held.
+func (e *Engine) applyOrder(o protocol.Order) {
 	switch o.Action {
 	case protocol.ActionRole:
 		e.role = o.Role
@@ -49,11 +49,11 @@
 	case protocol.ActionLoad:
 		e.models = slices.DeleteFunc(e.models, func(l protocol.Loaded) bool { return l.Model == o.Model })
 		e.models = append(e.models, protocol.Loaded{Model: o.Model, Version: o.Version, Adapters: o.Adapters})
-		e.loads.Go(func() { e.fetch(o) })
+		e.background.Go(func() { e.loadModel(o) })
 	}
 }
 
-func (e *Engine) fetch(o protocol.Order) {
+func (e *Engine) loadModel(o protocol.Order) {
 	size := int64(0)
 	if e.options.Weights != nil {
 		var err error
--- a/internal/standin/pool.go
+++ b/internal/standin/pool.go
@@ -15,45 +15,45 @@
 	"github.com/wingvale/wingvale/internal/wire"
 )
 
-// Job is the work of a pool or a plain service: a result from the call.
+// Job computes the result of a call to a stage pool or a plain service.
 type Job func(call protocol.StageCall) (json.RawMessage, error)
 
-// Pool is one runner of a stage pool or of a plain service.
+// Pool is a stand-in for one backend server of a stage pool or of a plain service.
 type Pool struct {
 	*server
 	job        Job
 	maxWaiting int
 
-	lastMu sync.Mutex
-	// last is the answer given last.
-	last *answered
+	lastAnswerMu sync.Mutex
+	// lastAnswer is the answer to the previous call.
+	lastAnswer *stageAnswer
 }
 
-type answered struct {
+type stageAnswer struct {
 	body   protocol.StageCall
 	result json.RawMessage
 }
 
-// swap remembers an answer and returns the one before.
-func (p *Pool) swap(body protocol.StageCall, result json.RawMessage) *answered {
-	p.lastMu.Lock()
-	defer p.lastMu.Unlock()
-	before := p.last
-	p.last = &answered{body: body, result: result}
-	return before
+// swapLastAnswer stores an answer as the last one and returns the one before.
+func (p *Pool) swapLastAnswer(body protocol.StageCall, result json.RawMessage) *stageAnswer {
+	p.lastAnswerMu.Lock()
+	defer p.lastAnswerMu.Unlock()
+	previous := p.lastAnswer
+	p.lastAnswer = &stageAnswer{body: body, result: result}
+	return previous
 }
 
-// NewPool returns a runner that does job.
+// NewPool returns a Pool that runs a job for each call.
 func NewPool(o Options, job Job) *Pool {
 	return &Pool{server: newServer(o), job: job, maxWaiting: o.MaxWaiting}
 }
 
-// Handler serves the runner's protocol.
+// Handler returns a handler for the protocol of stages.
 func (p *Pool) Handler() http.Handler {
 	r := chi.NewRouter()
-	r.Post(protocol.PathStages+"{stage}", p.serve)
+	r.Post(protocol.PathStages+"{stage}", p.handleCall)
 	r.Get(protocol.PathLoad, func(w http.ResponseWriter, _ *http.Request) {
-		l := p.load()
+		l := p.currentLoad()
 		_ = wire.Write(w, http.StatusOK, protocol.EngineState{
 			Instance: l.Instance, Running: l.Running, Waiting: l.Waiting, Slots: l.Slots, Leaving: l.Leaving,
 		})
@@ -61,37 +61,37 @@
 	return r
 }
 
-func (p *Pool) serve(w http.ResponseWriter, r *http.Request) {
-	named, body, ok := accept[protocol.StageCall](p.server, w, r, p.maxWaiting)
+func (p *Pool) handleCall(w http.ResponseWriter, r *http.Request) {
+	call, body, ok := acceptCall[protocol.StageCall](p.server, w, r, p.maxWaiting)
 	if !ok {
 		return
 	}
-	if err := p.slots.enter(r.Context(), 0); err != nil {
+	if err := p.slots.acquire(r.Context(), 0); err != nil {
 		return
 	}
-	defer p.slots.leave()
-	arrival := p.arrived(named, body.Input)
-	if p.chance(p.get().Hang) {
+	defer p.slots.release()
+	arrival := p.recordArrival(call, body.Input)
+	if p.withProbability(p.currentKnobs().Hang) {
 		<-r.Context().Done()
 		return
 	}
-	time.Sleep(p.work())
+	time.Sleep(p.callDuration())
 	result, err := p.job(body)
-	p.finished(arrival)
-	if err != nil || p.chance(p.get().Fail) {
+	p.markFinished(arrival)
+	if err != nil || p.withProbability(p.currentKnobs().Fail) {
 		p.fail(w, r, "failed")
 		return
 	}
-	p.answer(w, r, body, result)
+	p.writeAnswer(w, r, body, result)
 }
 
-func (p *Pool) answer(w http.ResponseWriter, r *http.Request, body protocol.StageCall, result json.RawMessage) {
-	p.echo(w, r)
-	other := p.swap(body, result)
-	if other != nil && p.chance(p.get().Mislabel) {
-		// The answer of another call, as that one's.
-		w.Header().Set(protocol.HeaderRequest, other.body.Request.String())
-		body, result = other.body, other.result
+func (p *Pool) writeAnswer(w http.ResponseWriter, r *http.Request, body protocol.StageCall, result json.RawMessage) {
+	p.setHeaders(w, r)
+	previous := p.swapLastAnswer(body, result)
+	if previous != nil && p.withProbability(p.currentKnobs().Mislabel) {
+		// Inject the fault: answer with the result and the name of another call.
+		w.Header().Set(protocol.HeaderRequest, previous.body.Request.String())
+		body, result = previous.body, previous.result
 	}
 	_ = wire.Write(w, http.StatusOK, protocol.StageAnswer{Request: body.Request, Stage: body.Stage, Attempt: body.Attempt, Result: result})
 }
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -16,21 +16,21 @@
 	"github.com/wingvale/wingvale/request"
 )
 
-// Arrival is one call that a backend server began to work on.
+// Arrival is a call that a backend server has started to run.
 type Arrival struct {
 	Request request.ID
 	Stage   string
 	Attempt int
-	// Input is the caller's text.
+	// Input is the text of the caller's request.
 	Input string
 	At    time.Time
-	// Finished says that the work ended, whoever heard of it.
+	// Finished reports whether the work is done, even if the caller did not get the result.
 	Finished bool
 }
 
-// server is what all stand-ins of backend servers share.
+// server is the common part of all stand-ins for backend servers.
 type server struct {
-	*dial
+	*behaviour
 	slots    *slots
 	instance string
 
@@ -38,28 +38,29 @@
 	arrivals   []*Arrival
 }
 
-// Options describe a stand-in of a backend server.
+// Options configure a stand-in for a backend server.
 type Options struct {
 	Knobs Knobs
-	// Slots is how many calls are worked on at once.
+	// Slots is the number of calls that run at once.
 	Slots int
-	// MaxWaiting is how many more may wait; beyond it calls are refused.
+	// MaxWaiting is how many more calls may wait. Further calls are refused. 0 means
+	// unlimited.
 	MaxWaiting int
-	// Instance names this run.
+	// Instance is the instance name of this run of the server.
 	Instance string
 	Seed     uint64
 }
 
 func newServer(o Options) *server {
-	return &server{dial: newDial(o.Knobs, o.Seed), slots: newSlots(o.Slots), instance: o.Instance}
+	return &server{behaviour: newBehaviour(o.Knobs, o.Seed), slots: newSlots(o.Slots), instance: o.Instance}
 }
 
-// Set changes the knobs.
+// Set changes the knobs of the server.
 func (s *server) Set(change func(k *Knobs)) {
-	s.set(change)
+	s.updateKnobs(change)
 }
 
-// Arrivals returns the calls that were begun.
+// Arrivals returns the calls that have started to run, oldest first.
 func (s *server) Arrivals() []Arrival {
 	s.arrivalsMu.Lock()
 	defer s.arrivalsMu.Unlock()
@@ -70,10 +71,10 @@
 	return all
 }
 
-// maxArrivals bounds what is remembered.
+// maxArrivals is the number of arrivals that are kept.
 const maxArrivals = 1 << 16
 
-func (s *server) arrived(c backend.Call, input string) *Arrival {
+func (s *server) recordArrival(c backend.Call, input string) *Arrival {
 	a := &Arrival{Request: c.Request, Stage: c.Stage, Attempt: c.Attempt, Input: input, At: time.Now()}
 	s.arrivalsMu.Lock()
 	defer s.arrivalsMu.Unlock()
@@ -84,20 +85,20 @@
 	return a
 }
 
-func (s *server) finished(a *Arrival) {
+func (s *server) markFinished(a *Arrival) {
 	s.arrivalsMu.Lock()
 	defer s.arrivalsMu.Unlock()
 	a.Finished = true
 }
 
-func (s *server) load() protocol.Load {
-	k := s.get()
-	running, waiting := s.slots.counts(k.ReportLag)
+func (s *server) currentLoad() protocol.Load {
+	k := s.currentKnobs()
+	running, waiting := s.slots.countsAgo(k.ReportLag)
 	return protocol.Load{Instance: s.instance, Running: running, Waiting: waiting, Slots: s.slots.size, Leaving: k.Leaving}
 }
 
-// call reads the call's name from the headers.
-func call(r *http.Request) (backend.Call, error) {
+// parseCall returns the request, stage and attempt of a call from its headers.
+func parseCall(r *http.Request) (backend.Call, error) {
 	id, err := request.ParseID(r.Header.Get(protocol.HeaderRequest))
 	if err != nil {
 		return backend.Call{}, err
@@ -106,48 +107,49 @@
 	return backend.Call{Request: id, Stage: r.Header.Get(protocol.HeaderStage), Attempt: attempt}, err
 }
 
-// accept reads a call's name and body, or refuses it and reports false.
-func accept[T any](s *server, w http.ResponseWriter, r *http.Request, maxWaiting int) (backend.Call, T, bool) {
-	named, err := call(r)
+// acceptCall returns the name and the body of a call. If it must be refused, acceptCall answers it
+// and reports false.
+func acceptCall[T any](s *server, w http.ResponseWriter, r *http.Request, maxWaiting int) (backend.Call, T, bool) {
+	call, err := parseCall(r)
 	if err != nil {
 		s.refuse(w, r, http.StatusBadRequest, err.Error())
-		return named, *new(T), false
+		return call, *new(T), false
 	}
 	body, err := wire.ReadLoose[T](r.Body, request.MaxBodyBytes)
 	if err != nil {
 		s.refuse(w, r, http.StatusBadRequest, err.Error())
-		return named, body, false
+		return call, body, false
 	}
-	k := s.get()
-	_, waiting := s.slots.counts(0)
-	if k.Leaving || s.chance(k.Refuse) || maxWaiting > 0 && waiting >= maxWaiting {
+	k := s.currentKnobs()
+	_, waiting := s.slots.countsAgo(0)
+	if k.Leaving || s.withProbability(k.Refuse) || maxWaiting > 0 && waiting >= maxWaiting {
 		s.refuse(w, r, http.StatusServiceUnavailable, "full or leaving")
-		return named, body, false
+		return call, body, false
 	}
-	return named, body, true
+	return call, body, true
 }
 
-// echo names the call on its answer.
-func (s *server) echo(w http.ResponseWriter, r *http.Request) {
+// setHeaders sets the headers of an answer that name its call, and the one that reports the load.
+func (s *server) setHeaders(w http.ResponseWriter, r *http.Request) {
 	for _, name := range []string{protocol.HeaderRequest, protocol.HeaderStage, protocol.HeaderAttempt} {
 		w.Header().Set(name, r.Header.Get(name))
 	}
-	if !s.get().Silent {
-		w.Header().Set(protocol.HeaderLoad, s.load().Marshal())
+	if !s.currentKnobs().Silent {
+		w.Header().Set(protocol.HeaderLoad, s.currentLoad().Marshal())
 	}
 }
 
-// refuse answers that the call did not start.
-func (s *server) refuse(w http.ResponseWriter, r *http.Request, status int, why string) {
-	s.echo(w, r)
+// refuse answers that the call has not started.
+func (s *server) refuse(w http.ResponseWriter, r *http.Request, status int, reason string) {
+	s.setHeaders(w, r)
 	w.Header().Set(protocol.HeaderNotStarted, "true")
-	_ = wire.Write(w, status, protocol.Refusal{Error: why, RetryAfter: pipeline.Duration(refusalRetry)})
+	_ = wire.Write(w, status, protocol.Refusal{Error: reason, RetryAfter: pipeline.Duration(refusalRetryAfter)})
 }
 
-const refusalRetry = 100 * time.Millisecond
+const refusalRetryAfter = 100 * time.Millisecond
 
 // fail answers that the call failed after it had started.
-func (s *server) fail(w http.ResponseWriter, r *http.Request, why string) {
-	s.echo(w, r)
-	_ = wire.Write(w, http.StatusInternalServerError, protocol.Refusal{Error: why})
+func (s *server) fail(w http.ResponseWriter, r *http.Request, reason string) {
+	s.setHeaders(w, r)
+	_ = wire.Write(w, http.StatusInternalServerError, protocol.Refusal{Error: reason})
 }
--- a/internal/standin/slots.go
+++ b/internal/standin/slots.go
@@ -10,15 +10,15 @@
 	"time"
 )
 
-// slots lets a number of calls be worked on at once; the others wait, by
-// priority and then in the order they came.
+// slots limits how many calls run at once. Other calls wait in a queue, in order of priority and
+// then of arrival.
 type slots struct {
 	mu      sync.Mutex
 	size    int
 	running int
 	waiting []*slotWaiter
-	// past has earlier counts, the oldest first, for lagging reports.
-	past []counts
+	// countHistory has earlier counts, the oldest first, for delayed load reports.
+	countHistory []slotCounts
 }
 
 type slotWaiter struct {
@@ -26,57 +26,57 @@
 	ready    chan struct{}
 }
 
-type counts struct {
-	at      time.Time
-	running int
-	waiting int
+type slotCounts struct {
+	recordedAt time.Time
+	running    int
+	waiting    int
 }
 
 func newSlots(size int) *slots {
 	return &slots{size: max(size, 1)}
 }
 
-// enter waits for a slot. It fails only with ctx.
-func (s *slots) enter(ctx context.Context, priority int) error {
+// acquire waits for a slot. It returns an error only if ctx is done before.
+func (s *slots) acquire(ctx context.Context, priority int) error {
 	s.mu.Lock()
 	if s.running < s.size {
 		s.running++
-		s.note()
+		s.recordCounts()
 		s.mu.Unlock()
 		return nil
 	}
 	w := &slotWaiter{priority: priority, ready: make(chan struct{})}
-	at := len(s.waiting)
-	for at > 0 && s.waiting[at-1].priority > priority {
-		at--
+	position := len(s.waiting)
+	for position > 0 && s.waiting[position-1].priority > priority {
+		position--
 	}
-	s.waiting = slices.Insert(s.waiting, at, w)
-	s.note()
+	s.waiting = slices.Insert(s.waiting, position, w)
+	s.recordCounts()
 	s.mu.Unlock()
 	select {
 	case <-w.ready:
 		return nil
 	case <-ctx.Done():
-		return s.abandon(ctx, w)
+		return s.cancelWait(ctx, w)
 	}
 }
 
-func (s *slots) abandon(ctx context.Context, w *slotWaiter) error {
+func (s *slots) cancelWait(ctx context.Context, w *slotWaiter) error {
 	s.mu.Lock()
 	i := slices.Index(s.waiting, w)
 	if i >= 0 {
 		s.waiting = slices.Delete(s.waiting, i, i+1)
-		s.note()
+		s.recordCounts()
 	}
 	s.mu.Unlock()
 	if i < 0 {
-		s.leave()
+		s.release()
 	}
 	return ctx.Err()
 }
 
-// leave gives the slot to the next in line.
-func (s *slots) leave() {
+// release passes the slot on to the first waiting call, or frees it.
+func (s *slots) release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.waiting) > 0 {
@@ -85,35 +85,36 @@
 	} else {
 		s.running--
 	}
-	s.note()
+	s.recordCounts()
 }
 
 const (
-	maxPast = 4096
-	oldest  = 10 * time.Second
+	// maxHistory and maxHistoryAge limit the number and the age of the counts that are kept.
+	maxHistory    = 4096
+	maxHistoryAge = 10 * time.Second
 )
 
-func (s *slots) note() {
+func (s *slots) recordCounts() {
 	now := time.Now()
-	s.past = append(s.past, counts{at: now, running: s.running, waiting: len(s.waiting)})
-	drop := max(len(s.past)-maxPast, 0)
-	for drop < len(s.past)-1 && now.Sub(s.past[drop].at) > oldest {
-		drop++
+	s.countHistory = append(s.countHistory, slotCounts{recordedAt: now, running: s.running, waiting: len(s.waiting)})
+	dropped := max(len(s.countHistory)-maxHistory, 0)
+	for dropped < len(s.countHistory)-1 && now.Sub(s.countHistory[dropped].recordedAt) > maxHistoryAge {
+		dropped++
 	}
-	s.past = s.past[drop:]
+	s.countHistory = s.countHistory[dropped:]
 }
 
-// counts returns how many calls ran and waited lag ago.
-func (s *slots) counts(lag time.Duration) (running, waiting int) {
+// countsAgo returns how many calls were running and waiting the given time ago.
+func (s *slots) countsAgo(lag time.Duration) (running, waiting int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if lag <= 0 {
 		return s.running, len(s.waiting)
 	}
-	then := time.Now().Add(-lag)
-	i, _ := slices.BinarySearchFunc(s.past, then, func(c counts, t time.Time) int { return c.at.Compare(t) })
+	asOf := time.Now().Add(-lag)
+	i, _ := slices.BinarySearchFunc(s.countHistory, asOf, func(c slotCounts, t time.Time) int { return c.recordedAt.Compare(t) })
 	if i == 0 {
 		return 0, 0
 	}
-	return s.past[i-1].running, s.past[i-1].waiting
+	return s.countHistory[i-1].running, s.countHistory[i-1].waiting
 }
--- a/internal/standin/stream.go
+++ b/internal/standin/stream.go
@@ -16,40 +16,43 @@
 	"github.com/wingvale/wingvale/request"
 )
 
+// stream is the answer of an engine to one call, generated piece by piece.
 type stream struct {
-	id      string
-	owner   request.ID
-	model   string
-	cancel  context.CancelFunc
-	mu      sync.Mutex
-	pieces  []string
-	ended   bool
-	aborted bool
-	usage   protocol.CompletionUsage
-	changed chan struct{}
+	id        string
+	requestID request.ID
+	model     string
+	cancel    context.CancelFunc
+	mu        sync.Mutex
+	pieces    []string
+	ended     bool
+	aborted   bool
+	usage     protocol.CompletionUsage
+	changed   chan struct{}
 }
 
-func (s *stream) add(text string) {
+func (s *stream) addPiece(text string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.pieces = append(s.pieces, text)
-	s.wake()
+	s.notify()
 }
 
-func (s *stream) end(usage protocol.CompletionUsage, aborted bool) {
+func (s *stream) finish(usage protocol.CompletionUsage, aborted bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.usage, s.ended, s.aborted = usage, true, aborted
-	s.wake()
+	s.notify()
 }
 
-func (s *stream) wake() {
+func (s *stream) notify() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// next returns the pieces from an offset on, and whether they are the last.
-func (s *stream) next(ctx context.Context, from int) (pieces []string, ended, aborted bool) {
+// awaitPieces waits until pieces from an offset on are available or the stream has ended. It
+// returns these pieces, whether the stream has ended with them, and whether it was aborted. It
+// reports an abort if ctx is done before.
+func (s *stream) awaitPieces(ctx context.Context, from int) (pieces []string, ended, aborted bool) {
 	for {
 		s.mu.Lock()
 		pieces, ended, aborted = s.pieces[min(from, len(s.pieces)):], s.ended, s.aborted
@@ -66,13 +69,13 @@
 	}
 }
 
-// send writes the stream's events from an offset on.
-func (e *Engine) send(w http.ResponseWriter, r *http.Request, s *stream, from int) {
+// sendEvents writes the events of a stream from an offset on until its end.
+func (e *Engine) sendEvents(w http.ResponseWriter, r *http.Request, s *stream, from int) {
 	events := wire.NewEvents(w)
 	_ = events.Flush()
-	cut := e.chance(e.get().Cut)
+	cut := e.withProbability(e.currentKnobs().Cut)
 	for {
-		pieces, ended, aborted := s.next(r.Context(), from)
+		pieces, ended, aborted := s.awaitPieces(r.Context(), from)
 		if aborted {
 			panic(http.ErrAbortHandler)
 		}
@@ -88,7 +91,7 @@
 			panic(http.ErrAbortHandler)
 		}
 		if ended && len(pieces) == 0 {
-			// The end was noticed after the last piece had gone out.
+			// The stream ended after its last piece had been sent.
 			_ = events.Send("", strconv.Itoa(from), s.chunk("", true))
 		}
 		if ended {
@@ -113,33 +116,33 @@
 	return c
 }
 
-func (e *Engine) find(r *http.Request) *stream {
+func (e *Engine) findStream(r *http.Request) *stream {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	s := e.streams[chi.URLParam(r, "id")]
-	if s == nil || s.owner.String() != r.Header.Get(protocol.HeaderRequest) {
+	if s == nil || s.requestID.String() != r.Header.Get(protocol.HeaderRequest) {
 		return nil
 	}
 	return s
 }
 
-func (e *Engine) resume(w http.ResponseWriter, r *http.Request) {
-	s := e.find(r)
+func (e *Engine) handleResume(w http.ResponseWriter, r *http.Request) {
+	s := e.findStream(r)
 	from, err := strconv.Atoi(r.URL.Query().Get("from"))
 	if s == nil || err != nil || from < 0 {
-		e.echo(w, r)
+		e.setHeaders(w, r)
 		_ = wire.Write(w, http.StatusNotFound, protocol.Refusal{Error: "no such stream"})
 		return
 	}
-	e.echo(w, r)
+	e.setHeaders(w, r)
 	w.Header().Set(protocol.HeaderStream, s.id)
-	e.send(w, r, s, from)
+	e.sendEvents(w, r, s, from)
 }
 
-func (e *Engine) drop(w http.ResponseWriter, r *http.Request) {
-	if s := e.find(r); s != nil {
+func (e *Engine) handleCancel(w http.ResponseWriter, r *http.Request) {
+	if s := e.findStream(r); s != nil {
 		s.cancel()
 	}
-	e.echo(w, r)
+	e.setHeaders(w, r)
 	w.WriteHeader(http.StatusNoContent)
 }
--- a/internal/standin/weights.go
+++ b/internal/standin/weights.go
@@ -15,65 +15,66 @@
 	"github.com/wingvale/wingvale/internal/wire"
 )
 
-// Weights is a weight store: all who fetch share one rate.
+// Weights is a stand-in for the weight store. All fetches share its rate.
 type Weights struct {
-	// rate is in bytes a second.
-	rate  int64
+	bytesPerSecond int64
+	// sizes has the size of each model in bytes.
 	sizes map[string]int64
 
 	mu sync.Mutex
-	// free is when the store has served all that was asked so far.
-	free time.Time
-	// most is the greatest number of fetches at once.
-	active, most int
+	// freeAt is when the store has served all fetches received so far.
+	freeAt time.Time
+	// active is the number of fetches in progress, maxActive its maximum so far.
+	active, maxActive int
 }
 
-// NewWeights returns a store that serves rate bytes a second of models with
-// the given sizes in bytes.
+// NewWeights returns a Weights that serves models of the given sizes in bytes at the given rate in
+// bytes per second.
 func NewWeights(rate int64, sizes map[string]int64) *Weights {
-	return &Weights{rate: rate, sizes: sizes}
+	return &Weights{bytesPerSecond: rate, sizes: sizes}
 }
 
-// Most returns the greatest number of fetches that were under way at once.
+// Most returns the greatest number of fetches that were in progress at once.
 func (s *Weights) Most() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.most
+	return s.maxActive
 }
 
-// Fetch returns the size of a model's weights once they have been served.
+// Fetch waits until the weights of a model have been served, and returns their size in bytes. It
+// returns an error if the model is unknown or ctx is done before.
 func (s *Weights) Fetch(ctx context.Context, model, _ string) (int64, error) {
 	size, ok := s.sizes[model]
 	if !ok {
-		return 0, fmt.Errorf("standin: the store has no model %s", model)
+		return 0, fmt.Errorf("standin: model %s is not in the weight store", model)
 	}
 	s.mu.Lock()
 	now := time.Now()
-	if s.free.Before(now) {
-		s.free = now
+	if s.freeAt.Before(now) {
+		s.freeAt = now
 	}
-	s.free = s.free.Add(time.Duration(float64(size) / float64(s.rate) * float64(time.Second)))
-	ready := s.free
+	s.freeAt = s.freeAt.Add(time.Duration(float64(size) / float64(s.bytesPerSecond) * float64(time.Second)))
+	ready := s.freeAt
 	s.active++
-	s.most = max(s.most, s.active)
+	s.maxActive = max(s.maxActive, s.active)
 	s.mu.Unlock()
 	defer func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		s.active--
 	}()
-	if !pause(ctx, time.Until(ready)) {
+	if !sleep(ctx, time.Until(ready)) {
 		return 0, ctx.Err()
 	}
 	return size, nil
 }
 
-// Fetched answers a fetch over HTTP.
+// Fetched is the answer to a fetch over HTTP.
 type Fetched struct {
 	Bytes int64 `json:"bytes"`
 }
 
-// Handler serves fetches: the answer comes once the weights would have.
+// Handler returns a handler for fetches. It answers once the weights have been served.
 func (s *Weights) Handler() http.Handler {
 	r := chi.NewRouter()
 	r.Get("/v1/weights/{model}/{version}", func(w http.ResponseWriter, r *http.Request) {
