--- a/internal/standin/cache.go
+++ b/internal/standin/cache.go
@@ -36,8 +36,8 @@
 	lost      bool
 }
 
-// lookupOrAdd reports whether a prefix was cached, and caches it. If lost is true, readers do not get the
-// events of this change.
+// lookupOrAdd reports whether a prefix was cached, and caches it. If lost is true, readers do not
+// get the events of this change.
 func (c *cache) lookupOrAdd(prefix uint64, lost bool) bool {
 	if prefix == 0 {
 		return false
--- a/internal/standin/data.go
+++ b/internal/standin/data.go
@@ -162,7 +162,8 @@
 // maxRepeats limits how often an answer is repeated.
 const maxRepeats = 100
 
-// repeatCount returns how often to repeat an answer: N for a prompt that ends in "N times", otherwise 1.
+// repeatCount returns how often an answer is to be repeated: N for a prompt that ends in "N times",
+// otherwise 1.
 func repeatCount(prompt string) int {
 	f := strings.Fields(prompt)
 	if len(f) < 2 || f[len(f)-1] != "times" {
