--- a/internal/scenario/call.go
+++ b/internal/scenario/call.go
@@ -17,6 +17,8 @@
 	"github.com/wingvale/wingvale/verdict"
 )
 
+// call is a request that a script has sent. The other fields are set once done is closed, except
+// for spec.
 type call struct {
 	done   chan struct{}
 	spec   request.Spec
@@ -24,7 +26,7 @@
 	err    error
 }
 
-// send starts a request in the background:
+// send sends a request in the background:
 // send NAME WORKSPACE PIPELINE INPUT [unrepeatable] [deadline=TIME].
 func (w *World) send(args []string) error {
 	if len(args) < 4 {
@@ -57,8 +59,8 @@
 	return nil
 }
 
-// await waits for a request and checks how it ended: await NAME answered, or
-// await NAME VERDICT REASON. An answer to a question is checked word for word.
+// await waits for a request and checks its outcome: await NAME answered, or
+// await NAME VERDICT REASON. The answer to a question must be exactly the expected text.
 func (w *World) await(args []string) error {
 	if len(args) < 2 {
 		return errUsage
@@ -67,19 +69,19 @@
 	c := w.calls[args[0]]
 	w.mu.Unlock()
 	if c == nil {
-		return fmt.Errorf("no request %s", args[0])
+		return fmt.Errorf("no request named %s", args[0])
 	}
 	select {
 	case <-c.done:
-	case <-time.After(awaitFor):
-		return fmt.Errorf("%s has not ended after %v", args[0], awaitFor)
+	case <-time.After(endTimeout):
+		return fmt.Errorf("request %s has not ended after %v", args[0], endTimeout)
 	}
 	if args[1] == "answered" {
 		return c.checkAnswer()
 	}
 	e := verdict.As(c.err)
 	if e == nil {
-		return fmt.Errorf("%s was answered %q", args[0], c.answer.Text)
+		return fmt.Errorf("request %s was answered: %q", args[0], c.answer.Text)
 	}
 	got := e.Verdict.String() + " " + string(e.Reason)
 	if want := strings.Join(args[1:], " "); got != want {
@@ -94,7 +96,7 @@
 	}
 	if !strings.Contains(c.answer.Text, "[") {
 		if !strings.Contains(c.answer.Text, c.answer.ID.String()) {
-			return fmt.Errorf("the receipt %q is for another request", c.answer.Text)
+			return fmt.Errorf("receipt %q is for another request", c.answer.Text)
 		}
 		return nil
 	}
@@ -108,7 +110,7 @@
 	return nil
 }
 
-// arrivals checks how many calls a pool began for a request:
+// arrivals checks how many calls the servers of a pool have started to run for a request:
 // arrivals NAME POOL COUNT.
 func (w *World) arrivals(args []string) error {
 	if len(args) != 3 {
@@ -130,7 +132,7 @@
 		}
 	}
 	if got != want {
-		return fmt.Errorf("got %d, want %d", got, want)
+		return fmt.Errorf("got %d calls, want %d", got, want)
 	}
 	return nil
 }
--- a/internal/scenario/check.go
+++ b/internal/scenario/check.go
@@ -11,15 +11,16 @@
 	"github.com/wingvale/wingvale/internal/node"
 )
 
-// eventually waits until check holds at each node that runs.
+// eventually waits until check succeeds on each running node. It returns the last error if it does
+// not within the duration in text.
 func (w *World) eventually(text string, check func(d node.Dump) error) error {
 	within, err := time.ParseDuration(text)
 	if err != nil {
 		return err
 	}
-	until := time.Now().Add(within)
+	deadline := time.Now().Add(within)
 	for {
-		var missing error
+		var lastErr error
 		for _, n := range w.site.Nodes() {
 			select {
 			case <-n.Done():
@@ -27,18 +28,18 @@
 			default:
 			}
 			if err := check(n.Dump()); err != nil {
-				missing = fmt.Errorf("%s: %w", n.Caller, err)
+				lastErr = fmt.Errorf("node %s: %w", n.Caller, err)
 			}
 		}
-		if missing == nil || time.Now().After(until) {
-			return missing
+		if lastErr == nil || time.Now().After(deadline) {
+			return lastErr
 		}
-		time.Sleep(look)
+		time.Sleep(pollInterval)
 	}
 }
 
-// inForce checks that a revision of a key is in force at all nodes that run,
-// within a time: inforce KEY REVISION TIME.
+// inForce checks that all running nodes use a revision of a key within a time:
+// inforce KEY REVISION TIME.
 func (w *World) inForce(args []string) error {
 	if len(args) != 3 {
 		return errUsage
@@ -49,14 +50,14 @@
 	}
 	return w.eventually(args[2], func(d node.Dump) error {
 		if got := d.Configuration.Revisions[args[0]]; got != want {
-			return fmt.Errorf("holds revision %d of %s, want %d", got, args[0], want)
+			return fmt.Errorf("has revision %d of %s, want %d", got, args[0], want)
 		}
 		return nil
 	})
 }
 
-// member checks what all others hold of a node, within a time:
-// member node:I STATE TIME.
+// member checks that all running nodes that have a node in their view see it in a state within a
+// time: member node:I STATE TIME.
 func (w *World) member(args []string) error {
 	if len(args) != 3 {
 		return errUsage
@@ -65,18 +66,18 @@
 	if !ok {
 		return errUsage
 	}
-	about := w.site.Nodes()[i].Caller
+	address := w.site.Nodes()[i].Caller
 	return w.eventually(args[2], func(d node.Dump) error {
 		for _, m := range d.Members {
-			if m.Address == about && m.State.String() != args[1] {
-				return fmt.Errorf("holds %s as %s, want %s", about, m.State, args[1])
+			if m.Address == address && m.State.String() != args[1] {
+				return fmt.Errorf("has member %s in state %s, want %s", address, m.State, args[1])
 			}
 		}
 		return nil
 	})
 }
 
-// leaving checks that all nodes know within a time that a server is leaving:
+// leaving checks that all running nodes know within a time that a server is leaving:
 // leaving POOL:I TIME.
 func (w *World) leaving(args []string) error {
 	if len(args) != 2 {
@@ -92,6 +93,6 @@
 				return nil
 			}
 		}
-		return fmt.Errorf("does not know that %s is leaving", s.Address)
+		return fmt.Errorf("does not know that server %s is leaving", s.Address)
 	})
 }
--- a/internal/scenario/fault.go
+++ b/internal/scenario/fault.go
@@ -15,7 +15,7 @@
 	"github.com/wingvale/wingvale/internal/standin"
 )
 
-// crash ends hosts at once: crash NAME...
+// crash kills nodes and backend servers: crash NAME...
 func (w *World) crash(args []string) error {
 	for _, name := range args {
 		if i, ok := nodeIndex(name); ok {
@@ -31,7 +31,7 @@
 	return nil
 }
 
-// restart starts killed or stopped hosts anew: restart NAME...
+// restart starts killed or stopped nodes and backend servers as new instances: restart NAME...
 func (w *World) restart(args []string) error {
 	for _, name := range args {
 		if i, ok := nodeIndex(name); ok {
@@ -52,7 +52,8 @@
 	return nil
 }
 
-// drain begins a planned stop, or waits for its end: drain node:I [wait].
+// drain starts a planned stop of a node, and with wait also waits for its end:
+// drain node:I [wait].
 func (w *World) drain(args []string) error {
 	if len(args) < 1 {
 		return errUsage
@@ -69,8 +70,8 @@
 	select {
 	case <-n.Done():
 		return nil
-	case <-time.After(awaitFor):
-		return fmt.Errorf("%s has not stopped after %v", args[0], awaitFor)
+	case <-time.After(endTimeout):
+		return fmt.Errorf("%s has not stopped after %v", args[0], endTimeout)
 	}
 }
 
@@ -85,14 +86,14 @@
 	return nil
 }
 
-// cut holds back what goes from one host to another: cut FROM TO [both].
+// cut delays all data from one host to another, or in both directions: cut FROM TO [both].
 func (w *World) cut(args []string) error {
 	if len(args) < 2 {
 		return errUsage
 	}
-	from, err1 := w.hosts(args[0])
-	to, err2 := w.hosts(args[1])
-	if err := errors.Join(err1, err2); err != nil {
+	from, fromErr := w.hosts(args[0])
+	to, toErr := w.hosts(args[1])
+	if err := errors.Join(fromErr, toErr); err != nil {
 		return err
 	}
 	w.network.Cut(from[0], to[0])
@@ -107,7 +108,7 @@
 	return nil
 }
 
-// set changes a server's behaviour: set POOL:I KNOB VALUE.
+// set changes a knob of a backend server: set POOL:I KNOB VALUE.
 func (w *World) set(args []string) error {
 	if len(args) != 3 {
 		return errUsage
@@ -116,7 +117,7 @@
 	if err != nil {
 		return err
 	}
-	x, err := strconv.ParseFloat(args[2], 64)
+	value, err := strconv.ParseFloat(args[2], 64)
 	if err != nil {
 		return err
 	}
@@ -124,19 +125,19 @@
 	s.Set(func(k *standin.Knobs) {
 		switch args[1] {
 		case "fail":
-			k.Fail = x
+			k.Fail = value
 		case "hang":
-			k.Hang = x
+			k.Hang = value
 		case "refuse":
-			k.Refuse = x
+			k.Refuse = value
 		case "mislabel":
-			k.Mislabel = x
+			k.Mislabel = value
 		case "cut":
-			k.Cut = x
+			k.Cut = value
 		case "slow":
-			k.Slow = x
+			k.Slow = value
 		case "leaving":
-			k.Leaving = x > 0
+			k.Leaving = value > 0
 		default:
 			known = false
 		}
@@ -147,8 +148,8 @@
 	return nil
 }
 
-// platform makes the service answer, answer nothing, or answer as of a
-// revision: platform up | down | stale REVISION [node:I] | fresh [node:I].
+// platform makes the configuration service answer, refuse all calls, or answer with the state at an
+// older revision: platform up | down | stale REVISION [node:I] | fresh [node:I].
 func (w *World) platform(args []string) error {
 	c := w.site.Configuration
 	reader := netip.Addr{}
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -27,7 +27,7 @@
 	network *memnet.Network
 	site    *harness.Site
 
-	// ctx ends the calls when the world closes.
+	// ctx ends the calls when the World is closed.
 	ctx    context.Context
 	cancel context.CancelFunc
 
@@ -36,12 +36,12 @@
 }
 
 const (
-	readyFor = 20 * time.Second
-	awaitFor = 2 * time.Minute
-	look     = 20 * time.Millisecond
+	readyTimeout = 20 * time.Second
+	endTimeout   = 2 * time.Minute
+	pollInterval = 20 * time.Millisecond
 )
 
-// New returns a world without a site.
+// New returns a World without a site. The command site creates the site.
 func New() *World {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &World{ctx: ctx, cancel: cancel, calls: make(map[string]*call)}
@@ -61,11 +61,11 @@
 	}
 }
 
-// Commands returns the commands of the language. Each fails the script by its
-// error; with "!" before it a command must fail.
+// Commands returns the commands of the language. A command that returns an error fails the script.
+// With "!" before it a command must fail.
 func (w *World) Commands() map[string]func(ts *testscript.TestScript, neg bool, args []string) {
 	commands := map[string]func(args []string) error{
-		"site":     w.start,
+		"site":     w.startSite,
 		"send":     w.send,
 		"await":    w.await,
 		"crash":    w.crash,
@@ -90,7 +90,7 @@
 		all[name] = func(ts *testscript.TestScript, neg bool, args []string) {
 			err := run(args)
 			if neg && err == nil {
-				ts.Fatalf("%s %s: want a failure", name, strings.Join(args, " "))
+				ts.Fatalf("%s %s: succeeded, want a failure", name, strings.Join(args, " "))
 			}
 			if !neg && err != nil {
 				ts.Fatalf("%s %s: %v", name, strings.Join(args, " "), err)
@@ -102,8 +102,9 @@
 
 var errUsage = errors.New("wrong arguments")
 
-// start sets the site up: site NODES [token=TIME] [work=TIME].
-func (w *World) start(args []string) error {
+// startSite creates the site and waits until its nodes are ready:
+// site NODES [token=TIME] [work=TIME].
+func (w *World) startSite(args []string) error {
 	if len(args) < 1 {
 		return errUsage
 	}
@@ -138,12 +139,12 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), readyFor)
+	ctx, cancel := context.WithTimeout(context.Background(), readyTimeout)
 	defer cancel()
 	return w.site.AwaitReady(ctx)
 }
 
-// hosts resolves a name: node:I, POOL:I, platform, or callers.
+// hosts returns the addresses of the host with a name: node:I, POOL:I or platform.
 func (w *World) hosts(name string) ([]netip.Addr, error) {
 	kind, index, _ := strings.Cut(name, ":")
 	if kind == "platform" {
@@ -168,7 +169,7 @@
 	i, err := strconv.Atoi(index)
 	servers := w.site.Servers(pool)
 	if err != nil || i >= len(servers) {
-		return nil, fmt.Errorf("no server %s", name)
+		return nil, fmt.Errorf("no server named %s", name)
 	}
 	return servers[i], nil
 }
@@ -179,7 +180,7 @@
 	return i, ok && err == nil
 }
 
-// publish sets a key: publish KEY VALUE.
+// publish publishes a value of a key: publish KEY VALUE.
 func (w *World) publish(args []string) error {
 	if len(args) != 2 {
 		return errUsage
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -16,42 +16,44 @@
 	"github.com/wingvale/wingvale/internal/scenario"
 )
 
-// inline runs a script in the test's own goroutine, as a bubble needs it.
-type inline struct{ *testing.T }
+// inlineT runs a script in the goroutine of the test, which a synctest bubble requires.
+type inlineT struct{ *testing.T }
 
-type failed struct{}
+// scriptFailed is the panic value that ends a failed script.
+type scriptFailed struct{}
 
-// Run runs f in place.
-func (t inline) Run(_ string, f func(testscript.T)) {
+// Run runs f in the current goroutine.
+func (t inlineT) Run(_ string, f func(testscript.T)) {
 	defer func() {
-		if r := recover(); r != nil && r != (failed{}) {
+		if r := recover(); r != nil && r != (scriptFailed{}) {
 			panic(r)
 		}
 	}()
 	f(t)
 }
 
-// Fatal and FailNow end the script only, so that its world is closed.
-func (t inline) Fatal(args ...any) {
+// Fatal fails the test and ends the script only, so that its World is still closed.
+func (t inlineT) Fatal(args ...any) {
 	t.Error(args...)
-	panic(failed{})
+	panic(scriptFailed{})
 }
 
-func (t inline) FailNow() {
+// FailNow is like Fatal without a message.
+func (t inlineT) FailNow() {
 	t.Fail()
-	panic(failed{})
+	panic(scriptFailed{})
 }
 
-// Skip is a failure: no script may skip.
-func (t inline) Skip(args ...any) {
+// Skip fails the test, because scripts must not be skipped.
+func (t inlineT) Skip(args ...any) {
 	t.Fatal(fmt.Sprint("skipped: ", fmt.Sprint(args...)))
 }
 
-// Parallel does nothing.
-func (inline) Parallel() {}
+// Parallel does nothing. It is required by testscript.T.
+func (inlineT) Parallel() {}
 
-// Verbose asks for the script's log only where it fails.
-func (inline) Verbose() bool { return false }
+// Verbose returns false, so that the log of a script is printed only if it fails.
+func (inlineT) Verbose() bool { return false }
 
 func TestScripts(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
@@ -63,7 +65,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				w := scenario.New()
 				defer w.Close()
-				testscript.RunT(inline{t}, testscript.Params{Files: []string{file}, Cmds: w.Commands()})
+				testscript.RunT(inlineT{t}, testscript.Params{Files: []string{file}, Cmds: w.Commands()})
 			})
 		})
 	}
