--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -179,7 +179,7 @@
 }
 
 func (e *Engine) generate(ctx context.Context, s *stream, body protocol.Completion, cached bool) {
-	prefill := e.callDuration()
+	prefill := e.callTime()
 	usage := protocol.CompletionUsage{PromptTokens: len(strings.Fields(body.Prompt))}
 	if cached {
 		prefill /= 2
--- a/internal/standin/knobs.go
+++ b/internal/standin/knobs.go
@@ -71,8 +71,8 @@
 	return b.random.Float64() < probability
 }
 
-// callDuration returns the duration of the next call.
-func (b *behaviour) callDuration() time.Duration {
+// callTime returns the duration of the next call.
+func (b *behaviour) callTime() time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	seconds := b.knobs.Work.Seconds()
--- a/internal/standin/pool.go
+++ b/internal/standin/pool.go
@@ -75,7 +75,7 @@
 		<-r.Context().Done()
 		return
 	}
-	time.Sleep(p.callDuration())
+	time.Sleep(p.callTime())
 	result, err := p.job(body)
 	p.markFinished(arrival)
 	if err != nil || p.withProbability(p.currentKnobs().Fail) {
