--- a/internal/admit/admit.go
+++ b/internal/admit/admit.go
@@ -32,28 +32,28 @@
 
 // Request describes an arriving request.
 type Request struct {
-	// Left is the time until its objective, and Objective the total time of the objective.
-	Left, Objective time.Duration
+	// TimeLeft is the time until its objective, and Objective the total time of the objective.
+	TimeLeft, Objective time.Duration
 	// Idle is how long its stages and its prompt take without queueing, and Delay how much
 	// longer engines currently take.
 	Idle, Delay time.Duration
-	// Deep is how many of its stages run one after the other.
-	Deep int
+	// Depth is how many of its stages run one after the other.
+	Depth int
 }
 
-// Judged reports whether the request may be refused on arrival. A request that would be late
+// MayRefuse reports whether the request may be refused on arrival. A request that would be late
 // even with idle pools is left to their owners, who know whether they can serve it.
-func (r Request) Judged() bool {
-	return r.Deep >= minDepth && r.Idle <= r.Left
+func (r Request) MayRefuse() bool {
+	return r.Depth >= minDepth && r.Idle <= r.TimeLeft
 }
 
 // Slack returns how long its stages can wait in total for the request to be in time.
 func (r Request) Slack() time.Duration {
-	return max(r.Left-r.Idle-r.Delay, time.Duration(minSlackShare*float64(r.Objective)))
+	return max(r.TimeLeft-r.Idle-r.Delay, time.Duration(minSlackShare*float64(r.Objective)))
 }
 
-// Share returns the share of requests to refuse, for the given expected wait and slack.
-func Share(waits, slack time.Duration) float64 {
+// RefusalShare returns the share of requests to refuse, for the given expected wait and slack.
+func RefusalShare(waits, slack time.Duration) float64 {
 	over := waits.Seconds()/slack.Seconds() - refusalStart
 	return min(max(over/(refusalFull-refusalStart), 0), maxRefusalShare)
 }
--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -26,15 +26,15 @@
 	return &Budget{tokens: Reserve}
 }
 
-// First records a first attempt.
-func (b *Budget) First() {
+// RecordFirstAttempt records a first attempt.
+func (b *Budget) RecordFirstAttempt() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tokens = min(b.tokens+Share, Reserve)
 }
 
-// Retry takes one retry from the budget. It reports false if none is available.
-func (b *Budget) Retry() bool {
+// TakeRetry takes one retry from the budget. It reports false if none is available.
+func (b *Budget) TakeRetry() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.tokens < 1 {
@@ -44,8 +44,8 @@
 	return true
 }
 
-// Left returns how many retries are available.
-func (b *Budget) Left() float64 {
+// Available returns how many retries are available.
+func (b *Budget) Available() float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.tokens
--- a/internal/enginepool/group.go
+++ b/internal/enginepool/group.go
@@ -49,9 +49,9 @@
 
 	mu sync.Mutex
 	// services holds the engines of each service, divided into shards.
-	services map[string]*owner.Divided[string, *placing.Engine]
+	services map[string]*owner.PartitionedMap[string, *placing.Engine]
 	// books holds this host's records of the engines of a shard.
-	books map[shard]*placing.Book
+	books map[shard]*placing.Scheduler
 	// reports are queued for the next PlaceRequest to the owner of their shard.
 	reports map[shard][]placing.Report
 }
@@ -81,8 +81,8 @@
 	return &Group{
 		options:  options,
 		ctx:      ctx,
-		services: make(map[string]*owner.Divided[string, *placing.Engine]),
-		books:    make(map[shard]*placing.Book),
+		services: make(map[string]*owner.PartitionedMap[string, *placing.Engine]),
+		books:    make(map[shard]*placing.Scheduler),
 		reports:  make(map[shard][]placing.Report),
 	}
 }
@@ -116,11 +116,11 @@
 			instance = c.Old.Instance
 			engines.Remove(instance)
 		}
-		changedShards[shard{service: c.Service, number: engines.Of(instance)}] = true
+		changedShards[shard{service: c.Service, number: engines.PartOf(instance)}] = true
 	}
 	redivided := make(map[string]bool)
 	for service, engines := range g.services {
-		redivided[service] = engines.Divide()
+		redivided[service] = engines.Repartition()
 	}
 	for s, b := range g.books {
 		if changedShards[s] || redivided[s.service] {
@@ -131,7 +131,7 @@
 
 // enginesOfService returns the engines of a service, and creates an empty set if there is
 // none. The mutex must be held.
-func (g *Group) enginesOfService(service string) *owner.Divided[string, *placing.Engine] {
+func (g *Group) enginesOfService(service string) *owner.PartitionedMap[string, *placing.Engine] {
 	engines := g.services[service]
 	if engines == nil {
 		engines = placing.NewShards[*placing.Engine]()
@@ -152,12 +152,12 @@
 
 // shardOfPrompt returns the shard of a prompt. The mutex must be held.
 func (g *Group) shardOfPrompt(service string, p placing.Prompt) shard {
-	return shard{service: service, number: placing.OfPrompt(p, g.enginesOfService(service).Parts())}
+	return shard{service: service, number: placing.ShardOfPrompt(p, g.enginesOfService(service).Parts())}
 }
 
 // shardOfEngine returns the shard of an engine. The mutex must be held.
 func (g *Group) shardOfEngine(service, instance string) shard {
-	return shard{service: service, number: g.enginesOfService(service).Of(instance)}
+	return shard{service: service, number: g.enginesOfService(service).PartOf(instance)}
 }
 
 // resolveShard returns the shard with a name that another host sent. A host that knows of
@@ -179,20 +179,20 @@
 
 // Place returns the best engine for a prompt. It asks the owner of the prompt's shard, or
 // decides itself if this host is the owner or no owner answers.
-func (g *Group) Place(ctx context.Context, service string, p placing.Prompt) placing.Place {
+func (g *Group) Place(ctx context.Context, service string, p placing.Prompt) placing.Placement {
 	g.mu.Lock()
 	shard := g.shardOfPrompt(service, p)
 	reports := g.reports[shard]
 	delete(g.reports, shard)
 	g.mu.Unlock()
-	for _, peer := range g.options.Owners.Others(shard.String(), maxOwnersTried) {
+	for _, peer := range g.options.Owners.PeersFor(shard.String(), maxOwnersTried) {
 		place, err := g.placeAtPeer(ctx, peer, shard, p, reports)
 		if err == nil {
 			return place
 		}
-		p.Alone = true
+		p.WithoutOwner = true
 		if ctx.Err() != nil {
-			return placing.Place{}
+			return placing.Placement{}
 		}
 		g.options.Owners.Avoid(peer.Address)
 		g.options.Scope.Counter("owner_failed").Inc(1)
@@ -203,10 +203,10 @@
 
 // book returns this host's records of a shard, and creates them if needed. The mutex must
 // be held.
-func (g *Group) book(s shard) *placing.Book {
+func (g *Group) book(s shard) *placing.Scheduler {
 	b := g.books[s]
 	if b == nil {
-		b = placing.NewBook()
+		b = placing.NewScheduler()
 		b.SetEngines(g.enginesOfShard(s))
 		g.books[s] = b
 	}
@@ -214,7 +214,7 @@
 }
 
 // placeLocally applies reports and places a prompt by this host's records.
-func (g *Group) placeLocally(s shard, p placing.Prompt, reports []placing.Report) placing.Place {
+func (g *Group) placeLocally(s shard, p placing.Prompt, reports []placing.Report) placing.Placement {
 	now := time.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -243,7 +243,7 @@
 	shard := g.shardOfEngine(service, instance)
 	g.mu.Unlock()
 	reports := []placing.Report{{Instance: instance, Failed: true}}
-	for _, peer := range g.options.Owners.Others(shard.String(), maxOwnersTried) {
+	for _, peer := range g.options.Owners.PeersFor(shard.String(), maxOwnersTried) {
 		ctx, cancel := context.WithTimeout(g.ctx, placeTimeout)
 		client := enginepb.NewEnginesProtobufClient("http://"+peer.Control.String(), g.options.HTTP)
 		_, err := client.Report(ctx, &enginepb.ReportRequest{Service: shard.String(), Reports: reportMessages(reports)})
@@ -268,22 +268,22 @@
 }
 
 // placeAtPeer sends a prompt to be placed, and queued reports, to another host.
-func (g *Group) placeAtPeer(ctx context.Context, peer owner.Peer, s shard, p placing.Prompt, reports []placing.Report) (placing.Place, error) {
+func (g *Group) placeAtPeer(ctx context.Context, peer owner.Peer, s shard, p placing.Prompt, reports []placing.Report) (placing.Placement, error) {
 	ctx, cancel := context.WithTimeout(ctx, placeTimeout)
 	defer cancel()
 	client := enginepb.NewEnginesProtobufClient("http://"+peer.Control.String(), g.options.HTTP)
 	reply, err := client.Place(ctx, placeRequest(s.String(), p, reports))
 	if err != nil {
-		return placing.Place{}, err
+		return placing.Placement{}, err
 	}
-	place := placing.Place{
+	place := placing.Placement{
 		Instance: reply.GetInstance(),
 		Wait:     time.Duration(reply.GetWaitMs()) * time.Millisecond,
 		Expected: time.Duration(reply.GetExpectedMs()) * time.Millisecond,
 	}
 	if source := reply.GetSource(); len(source) > 0 {
 		if err := place.Source.UnmarshalBinary(source); err != nil {
-			return placing.Place{}, fmt.Errorf("enginepool: decoding source address %x: %w", source, err)
+			return placing.Placement{}, fmt.Errorf("enginepool: decoding source address %x: %w", source, err)
 		}
 	}
 	return place, nil
@@ -300,16 +300,16 @@
 // Place places a prompt for another host.
 func (s *service) Place(_ context.Context, in *enginepb.PlaceRequest) (*enginepb.PlaceReply, error) {
 	p := placing.Prompt{
-		First:        in.GetFirst(),
-		Shared:       in.GetShared(),
-		FirstTokens:  int(max(in.GetFirstTokens(), 0)),
-		SharedTokens: int(max(in.GetSharedTokens(), 0)),
-		OwnTokens:    int(max(in.GetOwnTokens(), 0)),
-		Zone:         in.GetZone(),
-		InputBytes:   max(in.GetInputBytes(), 0),
-		Left:         time.Duration(in.GetLeftMs()) * time.Millisecond,
-		Except:       in.GetExcept(),
-		Homes:        in.GetHomes(),
+		First:          in.GetFirst(),
+		Shared:         in.GetShared(),
+		FirstTokens:    int(max(in.GetFirstTokens(), 0)),
+		SharedTokens:   int(max(in.GetSharedTokens(), 0)),
+		OwnTokens:      int(max(in.GetOwnTokens(), 0)),
+		Zone:           in.GetZone(),
+		InputBytes:     max(in.GetInputBytes(), 0),
+		TimeLeft:       time.Duration(in.GetLeftMs()) * time.Millisecond,
+		Excluded:       in.GetExcept(),
+		AllowedRegions: in.GetHomes(),
 	}
 	place := s.g.placeLocally(s.g.resolveShard(in.GetService()), p, reportsFromMessages(in.GetReports()))
 	reply := &enginepb.PlaceReply{Instance: place.Instance, WaitMs: place.Wait.Milliseconds(), ExpectedMs: place.Expected.Milliseconds()}
@@ -342,9 +342,9 @@
 		OwnTokens:    int64(p.OwnTokens),
 		Zone:         p.Zone,
 		InputBytes:   p.InputBytes,
-		LeftMs:       p.Left.Milliseconds(),
-		Except:       p.Except,
-		Homes:        p.Homes,
+		LeftMs:       p.TimeLeft.Milliseconds(),
+		Except:       p.Excluded,
+		Homes:        p.AllowedRegions,
 	}
 	m.Reports = reportMessages(reports)
 	return m
@@ -354,7 +354,7 @@
 	messages := make([]*enginepb.Report, 0, len(reports))
 	for _, r := range reports {
 		messages = append(messages, &enginepb.Report{
-			Instance: r.Instance, FirstMs: r.First.Milliseconds(), ExpectedMs: r.Expected.Milliseconds(), Failed: r.Failed,
+			Instance: r.Instance, FirstMs: r.FirstEventTime.Milliseconds(), ExpectedMs: r.Expected.Milliseconds(), Failed: r.Failed,
 		})
 	}
 	return messages
@@ -364,10 +364,10 @@
 	reports := make([]placing.Report, 0, len(messages))
 	for _, r := range messages {
 		reports = append(reports, placing.Report{
-			Instance: r.GetInstance(),
-			First:    time.Duration(r.GetFirstMs()) * time.Millisecond,
-			Expected: time.Duration(r.GetExpectedMs()) * time.Millisecond,
-			Failed:   r.GetFailed(),
+			Instance:       r.GetInstance(),
+			FirstEventTime: time.Duration(r.GetFirstMs()) * time.Millisecond,
+			Expected:       time.Duration(r.GetExpectedMs()) * time.Millisecond,
+			Failed:         r.GetFailed(),
 		})
 	}
 	return reports
--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -133,9 +133,9 @@
 	}
 }
 
-// Of returns the estimate of kind. Without samples its Mean is 0, so that unknown work is
-// never refused.
-func (t *Table) Of(kind string) Estimate {
+// Estimate returns the estimate of kind. Without samples its Mean is 0, so that unknown work
+// is never refused.
+func (t *Table) Estimate(kind string) Estimate {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.kinds[kind]
--- a/internal/gateway/refresh.go
+++ b/internal/gateway/refresh.go
@@ -214,7 +214,7 @@
 	return &placing.Engine{
 		Instance: s.Instance, Address: s.Address, Zone: s.Zone, Region: s.Region, Leaving: s.Closed(),
 		TokenBytes: kind.TokenBytes, Link: kind.Link,
-		ColdUntil: s.ColdUntil, ColdMost: n.coldLimit(n.serviceSpecs.coldRates[s.Service]),
+		ColdUntil: s.ColdUntil, ColdRateLimit: n.coldLimit(n.serviceSpecs.coldRates[s.Service]),
 	}
 }
 
--- a/internal/node/execute.go
+++ b/internal/node/execute.go
@@ -110,7 +110,7 @@
 	}
 	cost := request.StageCost{Stage: s.Name}
 	defer func() { j.costs = append(j.costs, cost) }()
-	n.budget.First()
+	n.budget.RecordFirstAttempt()
 	var avoid []netip.AddrPort
 	for {
 		g, err := s.pool.Acquire(ctx, n.newTask(ctx, j, s, avoid))
@@ -179,7 +179,7 @@
 		// Nothing was sent, so the retry adds no load.
 		return true
 	}
-	if !n.budget.Retry() {
+	if !n.budget.TakeRetry() {
 		n.scope.Counter("retries_denied").Inc(1)
 		return false
 	}
--- a/internal/node/operator.go
+++ b/internal/node/operator.go
@@ -70,7 +70,7 @@
 		Requests:      n.table.State(dumpLimit),
 		Pools:         make(map[string]dispatch.State),
 		Estimates:     n.estimates.All(),
-		RetryBudget:   n.budget.Left(),
+		RetryBudget:   n.budget.Available(),
 		Orders:        n.placer.state(),
 	}
 	for name, pool := range n.pools.all() {
--- a/internal/node/plan.go
+++ b/internal/node/plan.go
@@ -92,7 +92,7 @@
 
 func (n *Node) newStep(t pipeline.Template, s pipeline.Stage) step {
 	estimateKey := t.Name + "/" + s.Name + "/" + s.Model
-	return step{Stage: s, pool: n.pools.get(s.Pool), estimateKey: estimateKey, expected: n.estimates.Of(estimateKey), release: func() {}}
+	return step{Stage: s, pool: n.pools.get(s.Pool), estimateKey: estimateKey, expected: n.estimates.Estimate(estimateKey), release: func() {}}
 }
 
 // resume moves the start past the stages that the caller's checkpoint covers.
--- a/internal/owner/finder.go
+++ b/internal/owner/finder.go
@@ -32,9 +32,9 @@
 	return &Finder{self: self, liveHosts: liveHosts, avoided: make(map[netip.AddrPort]time.Time)}
 }
 
-// Others returns up to count hosts to ask for key, the best first. It returns only those
+// PeersFor returns up to count hosts to ask for key, the best first. It returns only those
 // ranked before the host itself.
-func (f *Finder) Others(key string, count int) []Peer {
+func (f *Finder) PeersFor(key string, count int) []Peer {
 	hosts := f.liveHosts()
 	avoided := f.currentlyAvoided()
 	ranked := hosts.best(key)
--- a/internal/owner/finder_test.go
+++ b/internal/owner/finder_test.go
@@ -31,7 +31,7 @@
 		owners := make(map[netip.AddrPort]bool)
 		for _, p := range all.Eligible() {
 			named := p.Address
-			if others := owner.NewFinder(p.Address, func() *owner.Hosts { return all }).Others(key, 1); len(others) > 0 {
+			if others := owner.NewFinder(p.Address, func() *owner.Hosts { return all }).PeersFor(key, 1); len(others) > 0 {
 				named = others[0].Address
 			}
 			owners[named] = true
@@ -45,12 +45,12 @@
 		all := owner.NewHosts(peers(5))
 		self := netip.MustParseAddrPort("10.9.9.9:1")
 		f := owner.NewFinder(self, func() *owner.Hosts { return all })
-		first := f.Others("k", 2)
+		first := f.PeersFor("k", 2)
 		assert.Equal(t, len(first), 2)
 		f.Avoid(first[0].Address)
-		assert.Equal(t, f.Others("k", 1)[0], first[1])
+		assert.Equal(t, f.PeersFor("k", 1)[0], first[1])
 		time.Sleep(3 * time.Second)
-		assert.Equal(t, f.Others("k", 1)[0], first[0])
+		assert.Equal(t, f.PeersFor("k", 1)[0], first[0])
 	})
 }
 
@@ -66,14 +66,14 @@
 	f := owner.NewFinder(self, func() *owner.Hosts { return live })
 	owners := make(map[netip.AddrPort]bool)
 	for k := range 50 {
-		owners[f.Others(fmt.Sprint(k), 1)[0].Address] = true
+		owners[f.PeersFor(fmt.Sprint(k), 1)[0].Address] = true
 	}
 	assert.Equal(t, len(owners), 2)
 	assert.Assert(t, owners[all[3].Address] && owners[all[7].Address])
 	live = owner.NewHosts(append(append(append([]owner.Peer(nil), all[:3]...), all[4:7]...), all[8:]...))
 	clear(owners)
 	for k := range 50 {
-		owners[f.Others(fmt.Sprint(k), 1)[0].Address] = true
+		owners[f.PeersFor(fmt.Sprint(k), 1)[0].Address] = true
 	}
 	assert.Assert(t, len(owners) > 5, "small hosts must own keys when no large one is left, got %d owners", len(owners))
 }
@@ -94,8 +94,8 @@
 	for _, count := range []int{60, 585, 1170} {
 		all := owner.NewHosts(manyPeers(count))
 		f := owner.NewFinder(netip.MustParseAddrPort("10.9.9.9:1"), func() *owner.Hosts { return all })
-		f.Others("logbook#3", 2)
-		allocations := testing.AllocsPerRun(100, func() { f.Others("logbook#3", 2) })
+		f.PeersFor("logbook#3", 2)
+		allocations := testing.AllocsPerRun(100, func() { f.PeersFor("logbook#3", 2) })
 		assert.Assert(t, allocations <= 4, "%d hosts: %v allocations", count, allocations)
 	}
 }
@@ -112,7 +112,7 @@
 		avoided := make(map[netip.AddrPort]bool)
 		for k := range 200 {
 			key := fmt.Sprint(k)
-			got := f.Others(key, 2)
+			got := f.PeersFor(key, 2)
 			want := othersOfAll(list, avoided, list[7].Address, key, 2)
 			assert.Assert(t, slices.Equal(got, want), "key %s: got %v, want %v", key, got, want)
 			if k%10 == 0 && len(got) > 0 && len(avoided) < 12 {
@@ -123,7 +123,7 @@
 	})
 }
 
-// othersOfAll returns the expected result of Others, computed from all hosts.
+// othersOfAll returns the expected result of PeersFor, computed from all hosts.
 func othersOfAll(list []owner.Peer, avoided map[netip.AddrPort]bool, self netip.AddrPort, key string, count int) []owner.Peer {
 	var available []netip.AddrPort
 	byAddress := make(map[netip.AddrPort]owner.Peer)
@@ -158,7 +158,7 @@
 			f := owner.NewFinder(netip.MustParseAddrPort("10.9.9.9:1"), func() *owner.Hosts { return all })
 			b.ReportAllocs()
 			for i := range b.N {
-				f.Others(keys[i%len(keys)], 2)
+				f.PeersFor(keys[i%len(keys)], 2)
 			}
 		})
 	}
--- a/internal/owner/divided.go
+++ b/internal/owner/partition.go
@@ -29,9 +29,10 @@
 	return best
 }
 
-// Divided is a map divided into parts of about a given size. A change of one item affects only
-// its own part, unless Divide changes the number of parts. It is not safe for concurrent use.
-type Divided[K comparable, T any] struct {
+// PartitionedMap is a map divided into parts of about a given size. A change of one item affects
+// only its own part, unless Repartition changes the number of parts. It is not safe for concurrent
+// use.
+type PartitionedMap[K comparable, T any] struct {
 	size int
 	hash func(K) uint64
 	// parts is never empty. Each key is in the part of its hash.
@@ -39,38 +40,38 @@
 	count int
 }
 
-// NewDivided returns an empty Divided.
-func NewDivided[K comparable, T any](size int, hash func(K) uint64) *Divided[K, T] {
-	return &Divided[K, T]{size: size, hash: hash, parts: []map[K]T{make(map[K]T)}}
+// NewPartitionedMap returns an empty PartitionedMap.
+func NewPartitionedMap[K comparable, T any](size int, hash func(K) uint64) *PartitionedMap[K, T] {
+	return &PartitionedMap[K, T]{size: size, hash: hash, parts: []map[K]T{make(map[K]T)}}
 }
 
 // Len returns the number of items.
-func (d *Divided[K, T]) Len() int {
+func (d *PartitionedMap[K, T]) Len() int {
 	return d.count
 }
 
 // Parts returns the number of parts, at least 1.
-func (d *Divided[K, T]) Parts() int {
+func (d *PartitionedMap[K, T]) Parts() int {
 	return len(d.parts)
 }
 
 // Part returns the items of a part, or nil if the part does not exist. The map must not be
 // modified.
-func (d *Divided[K, T]) Part(i int) map[K]T {
+func (d *PartitionedMap[K, T]) Part(i int) map[K]T {
 	if i < 0 || i >= len(d.parts) {
 		return nil
 	}
 	return d.parts[i]
 }
 
-// Of returns the part of a key.
-func (d *Divided[K, T]) Of(key K) int {
+// PartOf returns the part of a key.
+func (d *PartitionedMap[K, T]) PartOf(key K) int {
 	return Part(d.hash(key), len(d.parts))
 }
 
 // Put adds or replaces an item.
-func (d *Divided[K, T]) Put(key K, item T) {
-	part := d.parts[d.Of(key)]
+func (d *PartitionedMap[K, T]) Put(key K, item T) {
+	part := d.parts[d.PartOf(key)]
 	if _, known := part[key]; !known {
 		d.count++
 	}
@@ -78,17 +79,17 @@
 }
 
 // Remove removes an item.
-func (d *Divided[K, T]) Remove(key K) {
-	part := d.parts[d.Of(key)]
+func (d *PartitionedMap[K, T]) Remove(key K) {
+	part := d.parts[d.PartOf(key)]
 	if _, known := part[key]; known {
 		d.count--
 		delete(part, key)
 	}
 }
 
-// Divide adjusts the number of parts to the number of items and reports whether it changed. It
-// must be called after each batch of changes.
-func (d *Divided[K, T]) Divide() bool {
+// Repartition adjusts the number of parts to the number of items and reports whether it changed.
+// It must be called after each batch of changes.
+func (d *PartitionedMap[K, T]) Repartition() bool {
 	wanted := Parts(d.count, d.size)
 	if wanted == len(d.parts) {
 		return false
@@ -100,7 +101,7 @@
 	}
 	for _, part := range old {
 		for key, item := range part {
-			d.parts[d.Of(key)][key] = item
+			d.parts[d.PartOf(key)][key] = item
 		}
 	}
 	return true
--- a/internal/owner/divided_test.go
+++ b/internal/owner/partition_test.go
@@ -14,22 +14,22 @@
 )
 
 func TestDividedFindsItemsAfterGrowthAndShrinking(t *testing.T) {
-	d := owner.NewDivided[string, int](24, xxhash.Sum64String)
+	d := owner.NewPartitionedMap[string, int](24, xxhash.Sum64String)
 	name := func(i int) string { return fmt.Sprintf("server-%d", i) }
 	for i := range 500 {
 		d.Put(name(i), i)
 	}
-	assert.Assert(t, d.Divide())
-	assert.Assert(t, !d.Divide())
+	assert.Assert(t, d.Repartition())
+	assert.Assert(t, !d.Repartition())
 	assert.Equal(t, d.Parts(), 21)
 	for i := range 470 {
 		d.Remove(name(i))
 	}
-	d.Divide()
+	d.Repartition()
 	assert.Equal(t, d.Len(), 30)
 	assert.Equal(t, d.Parts(), 2)
 	for i := 470; i < 500; i++ {
-		assert.Equal(t, d.Part(d.Of(name(i)))[name(i)], i)
+		assert.Equal(t, d.Part(d.PartOf(name(i)))[name(i)], i)
 	}
 	assert.Equal(t, len(d.Part(2)), 0)
 }
--- a/internal/placing/copy.go
+++ b/internal/placing/copy.go
@@ -30,14 +30,14 @@
 // source returns the engine that has cached most of a prompt's shared parts, of equal ones the
 // one that used them last. Its engine is nil if there is none. The engine may be leaving: a
 // copy gives it no work, and what it has cached is lost soon.
-func (b *Book) source(now time.Time, p Prompt) cacheHolder {
+func (b *Scheduler) source(now time.Time, p Prompt) cacheHolder {
 	if k := b.holderOf(now, p, p.Shared, p.SharedTokens); k.engine != nil {
 		return k
 	}
 	return b.holderOf(now, p, p.First, p.FirstTokens)
 }
 
-func (b *Book) holderOf(now time.Time, p Prompt, part uint64, tokens int) cacheHolder {
+func (b *Scheduler) holderOf(now time.Time, p Prompt, part uint64, tokens int) cacheHolder {
 	engines, ok := b.cached.Get(part)
 	if !ok || part == 0 {
 		return cacheHolder{}
--- a/internal/placing/ratelimit.go
+++ b/internal/placing/ratelimit.go
@@ -46,7 +46,7 @@
 	newOwner bool
 }
 
-func (b *Book) rateLimiter(now time.Time, alone bool) rateLimiter {
+func (b *Scheduler) rateLimiter(now time.Time, alone bool) rateLimiter {
 	return rateLimiter{now: now, alone: alone, newOwner: now.Sub(b.ownerSince) < rateWindow}
 }
 
@@ -56,16 +56,16 @@
 	case p.alone:
 		return nonOwnerLimit
 	case p.newOwner:
-		return max(int(newOwnerRateShare*e.ColdMost), 1)
+		return max(int(newOwnerRateShare*e.ColdRateLimit), 1)
 	default:
-		return max(int(ownerRateShare*e.ColdMost), 1)
+		return max(int(ownerRateShare*e.ColdRateLimit), 1)
 	}
 }
 
 // wait returns how long an engine must get no further prompt; 0 if it may get one now. A host
 // that is not the owner does not use cold engines.
 func (p rateLimiter) wait(e *engine) time.Duration {
-	if e.ColdMost <= 0 {
+	if e.ColdRateLimit <= 0 {
 		return 0
 	}
 	if p.alone && p.now.Before(e.ColdUntil) {
--- a/internal/placing/replay_test.go
+++ b/internal/placing/replay_test.go
@@ -85,7 +85,7 @@
 			// Popularity falls with the rank to the power of 0.3.
 			sharedIndex := int(float64(k.sharedCount) * math.Pow(random.Float64(), 1/0.7))
 			p := parts[min(sharedIndex, k.sharedCount-1)]
-			p.OwnTokens, p.Left = k.own.draw(random), k.objective
+			p.OwnTokens, p.TimeLeft = k.own.draw(random), k.objective
 			all = append(all, arrival{at: at, kind: i, prompt: p})
 		}
 	}
@@ -115,7 +115,7 @@
 
 // pool is the engines of a replay with the schedulers of their owners.
 type pool struct {
-	schedulers []*placing.Book
+	schedulers []*placing.Scheduler
 	// freeAt is when each engine has read the prompts placed on it.
 	freeAt map[string]time.Duration
 	placed map[string]int
@@ -133,7 +133,7 @@
 		shards.Put(e.Instance, e)
 		p.placed[e.Instance] = 0
 	}
-	shards.Divide()
+	shards.Repartition()
 	for i := range shards.Parts() {
 		p.schedulers = append(p.schedulers, newScheduler(slices.Collect(maps.Values(shards.Part(i)))...))
 	}
@@ -167,7 +167,7 @@
 	var spent time.Duration
 	all := arrivals(kinds, span, 1)
 	for _, a := range all {
-		place := p.schedulers[placing.OfPrompt(a.prompt, len(p.schedulers))].Place(start.Add(a.at), a.prompt)
+		place := p.schedulers[placing.ShardOfPrompt(a.prompt, len(p.schedulers))].Place(start.Add(a.at), a.prompt)
 		work := place.Expected - place.Wait - placing.Overhead
 		begin := max(p.freeAt[place.Instance], a.at)
 		p.freeAt[place.Instance] = begin + work
--- a/internal/placing/scheduler.go
+++ b/internal/placing/scheduler.go
@@ -65,14 +65,14 @@
 	// can send or receive. Either is 0 if engines cannot copy from each other.
 	TokenBytes int64
 	Link       float64
-	// ColdUntil is when the engine is warm again. ColdMost is how many prompts of all hosts
-	// may reach it in any second before that; 0 means no bound.
-	ColdUntil time.Time
-	ColdMost  float64
+	// ColdUntil is when the engine is warm again. ColdRateLimit is how many prompts of all
+	// hosts may reach it in any second before that; 0 means no bound.
+	ColdUntil     time.Time
+	ColdRateLimit float64
 }
 
-// Place is where a prompt is sent.
-type Place struct {
+// Placement is where a prompt is sent.
+type Placement struct {
 	// Instance is empty if there is no engine or, with Wait set, none that may get a prompt
 	// yet.
 	Instance string
@@ -98,30 +98,31 @@
 	// Zone is the zone that holds InputBytes of inputs.
 	Zone       string
 	InputBytes int64
-	// Left is how much of the objective remains for the first event; 0 means unknown. If it is
-	// negative, the prompt is late on any engine.
-	Left time.Duration
-	// Except are instances that must not be chosen.
-	Except []string
-	// Homes are the regions whose engines may be chosen. If it is empty, all may.
-	Homes []string
-	// Alone says that the deciding host is not the owner and knows of no prompts but its own.
-	Alone bool
+	// TimeLeft is how much of the objective remains for the first event; 0 means unknown. If
+	// it is negative, the prompt is late on any engine.
+	TimeLeft time.Duration
+	// Excluded are instances that must not be chosen.
+	Excluded []string
+	// AllowedRegions are the regions whose engines may be chosen. If it is empty, all may.
+	AllowedRegions []string
+	// WithoutOwner says that the deciding host is not the owner and knows of no prompts but
+	// its own.
+	WithoutOwner bool
 }
 
 // allows reports whether an engine may read the prompt or cache what it copies.
 func (p Prompt) allows(e *engine) bool {
-	return len(p.Homes) == 0 || slices.Contains(p.Homes, e.Region)
+	return len(p.AllowedRegions) == 0 || slices.Contains(p.AllowedRegions, e.Region)
 }
 
 // Report is the outcome of one prompt.
 type Report struct {
 	Instance string
-	// First is the time until the first event, 0 for none. Expected is the time that Place had
-	// estimated.
-	First    time.Duration
-	Expected time.Duration
-	Failed   bool
+	// FirstEventTime is the time until the first event, 0 for none. Expected is the time that
+	// Place had estimated.
+	FirstEventTime time.Duration
+	Expected       time.Duration
+	Failed         bool
 }
 
 // ReadTime returns how long an idle engine takes to read tokens of a prompt that follow those
@@ -132,9 +133,9 @@
 	return time.Duration(ms * float64(time.Millisecond))
 }
 
-// Book is an owner's record of its engines and of the prompts placed on them. It is not safe
+// Scheduler is an owner's record of its engines and of the prompts placed on them. It is not safe
 // for concurrent use.
-type Book struct {
+type Scheduler struct {
 	engines map[string]*engine
 	// ownerSince is when the owner placed its first prompt.
 	ownerSince time.Time
@@ -156,15 +157,15 @@
 	recentPrompts recentPrompts
 }
 
-// NewBook returns a Book without engines.
-func NewBook() *Book {
+// NewScheduler returns a Scheduler without engines.
+func NewScheduler() *Scheduler {
 	// lru.New fails only for a size below 1.
 	cached, _ := lru.New[uint64, map[string]cacheEntry](maxCachedParts)
-	return &Book{engines: make(map[string]*engine), cached: cached}
+	return &Scheduler{engines: make(map[string]*engine), cached: cached}
 }
 
 // SetEngines replaces the engines and keeps the state of those that remain.
-func (b *Book) SetEngines(engines []Engine) {
+func (b *Scheduler) SetEngines(engines []Engine) {
 	known := b.engines
 	b.engines = make(map[string]*engine, len(engines))
 	for _, e := range engines {
@@ -178,20 +179,20 @@
 }
 
 // Report records the outcome of a prompt.
-func (b *Book) Report(now time.Time, r Report) {
+func (b *Scheduler) Report(now time.Time, r Report) {
 	e := b.engines[r.Instance]
 	if e == nil {
 		return
 	}
 	ratio := 0.0
-	if r.First > 0 && r.Expected > 0 {
-		ratio = r.First.Seconds() / r.Expected.Seconds()
+	if r.FirstEventTime > 0 && r.Expected > 0 {
+		ratio = r.FirstEventTime.Seconds() / r.Expected.Seconds()
 	}
 	e.health.Ended(now, ratio, r.Failed)
 }
 
 // Place selects the engine with the lowest cost and records the prompt there.
-func (b *Book) Place(now time.Time, p Prompt) Place {
+func (b *Scheduler) Place(now time.Time, p Prompt) Placement {
 	if b.ownerSince.IsZero() {
 		b.ownerSince = now
 	}
@@ -207,19 +208,19 @@
 		}
 	}
 	if best == nil {
-		return Place{Wait: wait}
+		return Placement{Wait: wait}
 	}
 	readPlan := newReadPlan(best, p, b.missing(now, best, p), from)
 	nominal := readPlan.duration(best, p)
 	best.health.Try(now)
-	if best.ColdMost > 0 {
+	if best.ColdRateLimit > 0 {
 		best.recentPrompts.add(now)
 	}
 	wait = max(best.freeAt.Sub(now), 0)
 	best.freeAt = now.Add(wait + time.Duration(float64(nominal)*best.health.Ratio(now)))
 	b.recordCached(now, p.First, best.Instance)
 	b.recordCached(now, p.Shared, best.Instance)
-	place := Place{Instance: best.Instance, Wait: wait, Expected: wait + nominal + Overhead}
+	place := Placement{Instance: best.Instance, Wait: wait, Expected: wait + nominal + Overhead}
 	if readPlan.copied > 0 {
 		place.Source = readPlan.source.Address
 	}
@@ -228,12 +229,12 @@
 
 // usable returns the engines that may get a prompt now. If there are none, it returns the time
 // until one may get it; 0 means never.
-func (b *Book) usable(now time.Time, p Prompt) ([]*engine, time.Duration) {
+func (b *Scheduler) usable(now time.Time, p Prompt) ([]*engine, time.Duration) {
 	var all, healthy []*engine
 	var shortestWait time.Duration
-	limiter := b.rateLimiter(now, p.Alone)
+	limiter := b.rateLimiter(now, p.WithoutOwner)
 	for _, e := range b.engines {
-		if e.Leaving || !p.allows(e) || slices.Contains(p.Except, e.Instance) {
+		if e.Leaving || !p.allows(e) || slices.Contains(p.Excluded, e.Instance) {
 			continue
 		}
 		if wait := limiter.wait(e); wait > 0 {
@@ -274,7 +275,7 @@
 }
 
 // ranks returns the positions of a prompt's homes by rendezvous hashing.
-func (b *Book) ranks(p Prompt) map[string]int {
+func (b *Scheduler) ranks(p Prompt) map[string]int {
 	if p.Shared == 0 {
 		return nil
 	}
@@ -290,7 +291,7 @@
 }
 
 // missing returns how many shared tokens an engine has not cached.
-func (b *Book) missing(now time.Time, e *engine, p Prompt) int {
+func (b *Scheduler) missing(now time.Time, e *engine, p Prompt) int {
 	switch {
 	case p.Shared == 0 || b.isCached(now, p.Shared, e.Instance):
 		return 0
@@ -303,7 +304,7 @@
 
 // cost returns the time until the first event at an engine, with the costs of rereading,
 // copying, crossing zones and being late added as time.
-func (b *Book) cost(now time.Time, e *engine, p Prompt, ranks map[string]int, from cacheHolder) time.Duration {
+func (b *Scheduler) cost(now time.Time, e *engine, p Prompt, ranks map[string]int, from cacheHolder) time.Duration {
 	missing := b.missing(now, e, p)
 	rank, home := ranks[e.Instance]
 	if home && rank == 0 && now.Sub(b.ownerSince) < newOwnerPeriod {
@@ -312,7 +313,7 @@
 	readPlan := newReadPlan(e, p, missing, from)
 	first := max(e.freeAt.Sub(now), 0) + time.Duration(float64(readPlan.duration(e, p))*e.health.Ratio(now))
 	cost := first + readPlan.extraCost(e)
-	if p.Left > 0 && first+Overhead > p.Left {
+	if p.TimeLeft > 0 && first+Overhead > p.TimeLeft {
 		cost += latePenalty
 	}
 	if p.Zone != "" && e.Zone != p.Zone {
@@ -325,12 +326,12 @@
 	return time.Duration(e.health.Weighed(now, float64(cost+Overhead)))
 }
 
-func (b *Book) isCached(now time.Time, part uint64, instance string) bool {
+func (b *Scheduler) isCached(now time.Time, part uint64, instance string) bool {
 	engines, ok := b.cached.Get(part)
 	return ok && now.Sub(engines[instance].last) < cacheLifetime
 }
 
-func (b *Book) recordCached(now time.Time, part uint64, instance string) {
+func (b *Scheduler) recordCached(now time.Time, part uint64, instance string) {
 	if part == 0 {
 		return
 	}
--- a/internal/placing/scheduler_test.go
+++ b/internal/placing/scheduler_test.go
@@ -24,8 +24,8 @@
 	return list
 }
 
-func newScheduler(list ...placing.Engine) *placing.Book {
-	b := placing.NewBook()
+func newScheduler(list ...placing.Engine) *placing.Scheduler {
+	b := placing.NewScheduler()
 	b.SetEngines(list)
 	return b
 }
@@ -70,7 +70,7 @@
 	first := b.Place(start, prompt(1))
 	assert.Assert(t, !first.Source.IsValid(), "no engine has cached it yet")
 	early := b.Place(start.Add(100*time.Millisecond), placing.Prompt{
-		First: 1, Shared: 1, FirstTokens: 13000, SharedTokens: 13000, OwnTokens: 3000, Except: []string{first.Instance},
+		First: 1, Shared: 1, FirstTokens: 13000, SharedTokens: 13000, OwnTokens: 3000, Excluded: []string{first.Instance},
 	})
 	assert.Assert(t, !early.Source.IsValid(), "it is still being read")
 	now := start.Add(3 * time.Second)
@@ -123,7 +123,7 @@
 	b := newScheduler(list...)
 	home := b.Place(start, prompt(1)).Instance
 	p := prompt(1)
-	p.Except = []string{home}
+	p.Excluded = []string{home}
 	assert.Assert(t, b.Place(start, p).Instance != home)
 	for i := range list {
 		list[i].Leaving = list[i].Instance == home
@@ -148,7 +148,7 @@
 	home := b.Place(start, prompt(1)).Instance
 	now := start.Add(time.Second)
 	for range 10 {
-		b.Report(now, placing.Report{Instance: home, First: 9 * time.Second, Expected: 200 * time.Millisecond})
+		b.Report(now, placing.Report{Instance: home, FirstEventTime: 9 * time.Second, Expected: 200 * time.Millisecond})
 	}
 	assert.Assert(t, b.Place(now, prompt(1)).Instance != home)
 }
@@ -175,10 +175,10 @@
 func TestEnginesThatMayBeColdAreRateLimited(t *testing.T) {
 	const bound = 18.65
 	list := engines(1)
-	list[0].ColdMost = bound
+	list[0].ColdRateLimit = bound
 	old, newOwner, alone := newScheduler(list...), newScheduler(list...), newScheduler(list...)
 	placed := 0
-	place := func(b *placing.Book, now time.Time, p placing.Prompt) {
+	place := func(b *placing.Scheduler, now time.Time, p placing.Prompt) {
 		if b.Place(now, p).Instance != "" {
 			placed++
 		}
@@ -194,7 +194,7 @@
 		place(old, at, prompt(1))
 		place(newOwner, at, prompt(1))
 		p := prompt(1)
-		p.Alone = true
+		p.WithoutOwner = true
 		place(alone, at, p)
 	}
 	assert.Assert(t, float64(placed) < bound, "%d prompts placed in a second", placed)
@@ -206,12 +206,12 @@
 func TestHostWithoutOwnerDoesNotUseColdEngines(t *testing.T) {
 	list := engines(2)
 	for i := range list {
-		list[i].ColdMost = 18
+		list[i].ColdRateLimit = 18
 	}
 	list[0].ColdUntil = start.Add(3 * time.Second)
 	b := newScheduler(list...)
 	p := prompt(1)
-	p.Alone = true
+	p.WithoutOwner = true
 	assert.Equal(t, b.Place(start, p).Instance, "e1")
 	assert.Equal(t, b.Place(start, p).Instance, "", "the other engine already got one")
 	assert.Equal(t, newScheduler(list[:1]...).Place(start, prompt(1)).Instance, "e0", "the owner uses it")
--- a/internal/placing/shard.go
+++ b/internal/placing/shard.go
@@ -14,19 +14,19 @@
 const shardSize = 96
 
 // NewShards returns an empty partition of the engines of a service into shards.
-func NewShards[T any]() *owner.Divided[string, T] {
-	return owner.NewDivided[string, T](shardSize, xxhash.Sum64String)
+func NewShards[T any]() *owner.PartitionedMap[string, T] {
+	return owner.NewPartitionedMap[string, T](shardSize, xxhash.Sum64String)
 }
 
-// OfEngine returns the shard of an engine.
-func OfEngine(instance string, shards int) int {
+// ShardOfEngine returns the shard of an engine.
+func ShardOfEngine(instance string, shards int) int {
 	return owner.Part(xxhash.Sum64String(instance), shards)
 }
 
-// OfPrompt returns the shard of a prompt. It hashes all shared parts, since a kind of prompt
+// ShardOfPrompt returns the shard of a prompt. It hashes all shared parts, since a kind of prompt
 // with few first parts would otherwise reach few engines. A prompt that shares nothing is
 // hashed by its size, which is as good as any other key.
-func OfPrompt(p Prompt, shards int) int {
+func ShardOfPrompt(p Prompt, shards int) int {
 	hash := p.Shared
 	if hash == 0 {
 		hash = uint64(p.OwnTokens)
--- a/internal/relay/placement.go
+++ b/internal/relay/placement.go
@@ -18,14 +18,14 @@
 func (s *stream) chooseEngine(ctx context.Context, g *stageGraph) (Server, bool) {
 	j := s.job
 	s.prompt.Zone, s.prompt.InputBytes = g.largeInputsZone()
-	s.prompt.Left = time.Until(j.objective)
-	s.prompt.Homes = j.regions
+	s.prompt.TimeLeft = time.Until(j.objective)
+	s.prompt.AllowedRegions = j.regions
 	for range maxPlacements {
-		s.prompt.Except = s.excludedEngines()
+		s.prompt.Excluded = s.excludedEngines()
 		place := j.core.options.Engines.Place(ctx, j.service.Name, s.prompt)
 		for place.Instance == "" && place.Wait > 0 && s.awaitPlacement(ctx, place.Wait) {
-			s.prompt.Left = time.Until(j.objective)
-			s.prompt.Except = s.excludedEngines()
+			s.prompt.TimeLeft = time.Until(j.objective)
+			s.prompt.Excluded = s.excludedEngines()
 			place = j.core.options.Engines.Place(ctx, j.service.Name, s.prompt)
 		}
 		if place.Instance == "" {
--- a/internal/relay/serve.go
+++ b/internal/relay/serve.go
@@ -74,7 +74,7 @@
 	// events is the number of complete events of a stream that were forwarded.
 	events int
 	// placement is where the prompt was placed last.
-	placement placing.Place
+	placement placing.Placement
 	// digestValue identifies the request across all its attempts; digestOnce guards it.
 	digestOnce  sync.Once
 	digestValue suspect.Digest
--- a/internal/relay/servers.go
+++ b/internal/relay/servers.go
@@ -35,7 +35,7 @@
 	// list is sorted by address, then instance.
 	list []*server
 	// shards divides the servers in the same way as the owners of engines do.
-	shards *owner.Divided[string, *server]
+	shards *owner.PartitionedMap[string, *server]
 }
 
 // serverSet is the set of backend servers. It is safe for concurrent use.
@@ -73,7 +73,7 @@
 		touched[s.put(c.New)] = true
 	}
 	for service := range touched {
-		service.shards.Divide()
+		service.shards.Repartition()
 	}
 	return gone
 }
@@ -272,7 +272,7 @@
 		return ""
 	}
 	var names []string
-	for name, k := range group.shards.Part(placing.OfPrompt(p, group.shards.Parts())) {
+	for name, k := range group.shards.Part(placing.ShardOfPrompt(p, group.shards.Parts())) {
 		if s.accepts(k, regions) {
 			names = append(names, name)
 		}
--- a/internal/relay/shed.go
+++ b/internal/relay/shed.go
@@ -33,18 +33,18 @@
 func (g *stageGraph) shed() error {
 	j := g.job
 	request := admit.Request{
-		Left:      time.Until(j.objective),
+		TimeLeft:  time.Until(j.objective),
 		Objective: j.route.Objective,
 		Idle:      g.expectedTime(len(j.route.Stages)) + idleFirstEventTime(j.Request),
 		Delay:     j.core.meanEngineDelay(j.route),
-		Deep:      g.maxDepth(),
+		Depth:     g.maxDepth(),
 	}
-	if !request.Judged() {
+	if !request.MayRefuse() {
 		return nil
 	}
 	slack := request.Slack()
 	waits := g.totalWait(slack)
-	share := admit.Share(waits, slack)
+	share := admit.RefusalShare(waits, slack)
 	if j.core.randomFloat() >= share {
 		return nil
 	}
@@ -53,7 +53,7 @@
 	after := max(j.retryAfter(), waits-slack)
 	j.core.scope.Counter("shed").Inc(1)
 	j.log.WithFields(logrus.Fields{
-		"waits_ms": waits.Milliseconds(), "slack_ms": slack.Milliseconds(), "left_ms": request.Left.Milliseconds(),
+		"waits_ms": waits.Milliseconds(), "slack_ms": slack.Milliseconds(), "left_ms": request.TimeLeft.Milliseconds(),
 		"share": share, "return_ms": after.Milliseconds(),
 	}).Info("request shed: stage queues are too long for it to be in time")
 	return j.refuse(ReasonCrowded, after, "stages wait %v of %v", waits.Round(time.Millisecond), slack.Round(time.Millisecond))
@@ -72,7 +72,7 @@
 	j := g.job
 	return g.criticalPath(len(j.route.Stages), func(service string) time.Duration {
 		backlog, _ := j.core.options.Stages.Backlog(service)
-		return backlog.Waits.Before(slack + backlog.Call + stageplan.PriorityTime(j.priority()))
+		return backlog.Waits.ForDue(slack + backlog.Call + stageplan.PriorityOffset(j.priority()))
 	})
 }
 
@@ -110,7 +110,7 @@
 // meanEngineDelay returns by how much the first events of a route's requests have recently
 // exceeded their time at an idle engine that has the shared parts cached.
 func (c *Core) meanEngineDelay(route *Route) time.Duration {
-	return c.firstEventDelays.Of(route.Name).Mean
+	return c.firstEventDelays.Estimate(route.Name).Mean
 }
 
 // usefulUntil returns until when a stage of a request is useful: until the caller gives up
--- a/internal/relay/stages.go
+++ b/internal/relay/stages.go
@@ -224,19 +224,19 @@
 	stage := j.route.Stages[i]
 	after := g.expectedTime(g.depths[i]-1) + idleFirstEventTime(j.Request) + j.core.meanEngineDelay(j.route)
 	w := stageplan.Work{
-		Service:     stage.Service,
-		Request:     j.ID,
-		Stage:       i,
-		Workspace:   j.workspace.Name,
-		Route:       j.route.Name,
-		Latest:      j.objective.Add(-after),
-		Deadline:    j.usefulUntil().Add(-g.minTime(g.depths[i]-1) - idleFirstEventTime(j.Request)),
-		Priority:    j.priority(),
-		ResultBytes: stage.ResultBytes,
-		InputBytes:  g.inputBytes(i),
-		Beside:      g.hasSiblingResults(i),
-		Zone:        g.preferredZone(i),
-		Homes:       j.regions,
+		Service:           stage.Service,
+		Request:           j.ID,
+		Stage:             i,
+		Workspace:         j.workspace.Name,
+		Route:             j.route.Name,
+		Latest:            j.objective.Add(-after),
+		Deadline:          j.usefulUntil().Add(-g.minTime(g.depths[i]-1) - idleFirstEventTime(j.Request)),
+		Priority:          j.priority(),
+		ResultBytes:       stage.ResultBytes,
+		InputBytes:        g.inputBytes(i),
+		HoldsOtherResults: g.hasSiblingResults(i),
+		Zone:              g.preferredZone(i),
+		AllowedRegions:    j.regions,
 	}
 	for p := range j.pieceCount(i) {
 		w.Pieces = append(w.Pieces, p)
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -207,7 +207,7 @@
 		return
 	}
 	c.options.Engines.Ended(s.job.service.Name, placing.Report{
-		Instance: engine.Instance, First: first, Expected: s.expectedFirstEvent, Failed: failed,
+		Instance: engine.Instance, FirstEventTime: first, Expected: s.expectedFirstEvent, Failed: failed,
 	})
 }
 
--- a/internal/stageplan/chain_request_test.go
+++ b/internal/stageplan/chain_request_test.go
@@ -68,7 +68,7 @@
 // waits returns the queueing time of the stages for a request with the given slack.
 func (p *chainSimulator) waits(r *chainRequest, slack time.Duration, now time.Time) time.Duration {
 	return p.longest(r, len(r.stages), func(s *stageplan.Scheduler) time.Duration {
-		return s.Queue(now).Before(slack + s.CallTime() + stageplan.PriorityTime(r.priority))
+		return s.QueueWaits(now).ForDue(slack + s.CallTime() + stageplan.PriorityOffset(r.priority))
 	})
 }
 
@@ -76,17 +76,17 @@
 func (p *chainSimulator) admit(r *chainRequest, now time.Time) {
 	r.retryAt = time.Time{}
 	request := admit.Request{
-		Left:      r.at.Add(r.objective).Sub(now),
+		TimeLeft:  r.at.Add(r.objective).Sub(now),
 		Objective: r.objective,
 		Idle:      p.estimate(r, len(r.stages)) + r.kind.read,
 		Delay:     engineDelay,
-		Deep:      r.deepest(),
+		Depth:     r.deepest(),
 	}
-	if !request.Judged() {
+	if !request.MayRefuse() {
 		return
 	}
 	slack := request.Slack()
-	if p.chances.Float64() < admit.Share(p.waits(r, slack, now), slack) {
+	if p.chances.Float64() < admit.RefusalShare(p.waits(r, slack, now), slack) {
 		p.refuse(r, now)
 	}
 }
@@ -206,7 +206,7 @@
 		w := stageplan.Work{
 			Service: s.pool, Request: fmt.Sprint(r.number, ".", r.refusals), Stage: i,
 			Latest: r.at.Add(r.objective - after), Deadline: r.at.Add(r.limit - time.Duration(r.depth[i]-1)*200*time.Millisecond - r.kind.read),
-			Priority: r.priority, ResultBytes: s.bytes, Beside: len(r.stages) > 3 && r.depth[i] == 1 && r.pieces[0] > 0,
+			Priority: r.priority, ResultBytes: s.bytes, HoldsOtherResults: len(r.stages) > 3 && r.depth[i] == 1 && r.pieces[0] > 0,
 		}
 		if s.bytes >= 256<<10 {
 			w.Zone = r.zone
--- a/internal/stageplan/chain_test.go
+++ b/internal/stageplan/chain_test.go
@@ -105,7 +105,7 @@
 		for _, l := range load.pools {
 			pool := p.byName[l.spec.Service]
 			pool.deliver(now)
-			pool.scheduler.Overdue(now)
+			pool.scheduler.AbandonOverdue(now)
 			p.send(pool, at)
 		}
 		p.advance(now)
--- a/internal/stageplan/defer_test.go
+++ b/internal/stageplan/defer_test.go
@@ -43,7 +43,7 @@
 		s := newScheduler(spec, server(1, "a"))
 		s.Add(start, due("cheap", 4, 1, 400*ms))
 		for i := range c.urgent {
-			s.Add(start, due(fmt.Sprint(i), 5, 0, 400*ms+stageplan.PriorityTime(1)+ms))
+			s.Add(start, due(fmt.Sprint(i), 5, 0, 400*ms+stageplan.PriorityOffset(1)+ms))
 		}
 		assert.Equal(t, requests(next(t, s, start))[0] == "cheap", c.cheap, "with %d urgent tasks", c.urgent)
 	}
--- a/internal/stageplan/helpers_test.go
+++ b/internal/stageplan/helpers_test.go
@@ -72,7 +72,7 @@
 
 // overdue abandons the calls that take far too long and returns their number.
 func overdue(s *stageplan.Scheduler, now time.Time) int {
-	late, _ := s.Overdue(now)
+	late, _ := s.AbandonOverdue(now)
 	return len(late)
 }
 
--- a/internal/stageplan/late_test.go
+++ b/internal/stageplan/late_test.go
@@ -152,7 +152,7 @@
 func TestWorkWithOtherResultsHeldIsNotDeferred(t *testing.T) {
 	s := newScheduler(spec, server(1, "a"))
 	late := work("late", 8)
-	late.Latest, late.Beside = start.Add(-time.Second), true
+	late.Latest, late.HoldsOtherResults = start.Add(-time.Second), true
 	s.Add(start, work("timely", 8))
 	s.Add(start, late)
 	assert.Equal(t, requests(next(t, s, start))[0], "late")
@@ -168,8 +168,8 @@
 		w.Latest = start.Add(2 * time.Second)
 		s.Add(start, w)
 	}
-	waits := s.Queue(start)
+	waits := s.QueueWaits(start)
 	call := spec.CallTime + 8*spec.PieceTime
-	assert.Assert(t, waits.Before(time.Second) <= call, "got %v", waits.Before(time.Second))
-	assert.Assert(t, waits.Before(3*time.Second) >= 4*call, "got %v", waits.Before(3*time.Second))
+	assert.Assert(t, waits.ForDue(time.Second) <= call, "got %v", waits.ForDue(time.Second))
+	assert.Assert(t, waits.ForDue(3*time.Second) >= 4*call, "got %v", waits.ForDue(3*time.Second))
 }
--- a/internal/stageplan/order.go
+++ b/internal/stageplan/order.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Oldest returns how long the longest waiting task has been queued.
-func (s *Scheduler) Oldest(now time.Time) time.Duration {
+// OldestWait returns how long the longest waiting task has been queued.
+func (s *Scheduler) OldestWait(now time.Time) time.Duration {
 	var oldest time.Duration
 	for _, t := range s.waiting {
 		oldest = max(oldest, now.Sub(t.arrivedAt))
@@ -18,10 +18,10 @@
 	return oldest
 }
 
-// Queue estimates how long new work that can be in time waits for the start of its call. Tasks
-// that are already late go after it, and those due sooner before it.
-func (s *Scheduler) Queue(now time.Time) Queue {
-	var waits Queue
+// QueueWaits estimates how long new work that can be in time waits for the start of its call.
+// Tasks that are already late go after it, and those due sooner before it.
+func (s *Scheduler) QueueWaits(now time.Time) QueueWaits {
+	var waits QueueWaits
 	usable := s.usable(now)
 	if len(usable) == 0 {
 		rested, _ := s.restEndsIn(func(Server) bool { return true })
@@ -152,12 +152,12 @@
 // rankTime returns the time by which tasks are ordered: when they must end, plus an offset for
 // the priority.
 func (t *Task) rankTime() time.Time {
-	return t.Latest.Add(PriorityTime(t.Priority))
+	return t.Latest.Add(PriorityOffset(t.Priority))
 }
 
-// PriorityTime returns how much later work of a priority is treated as due than the most
+// PriorityOffset returns how much later work of a priority is treated as due than the most
 // urgent work.
-func PriorityTime(priority int) time.Duration {
+func PriorityOffset(priority int) time.Duration {
 	return time.Duration(priority) * priorityStep
 }
 
--- a/internal/stageplan/outcome.go
+++ b/internal/stageplan/outcome.go
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// Overdue abandons the calls that take far too long: either the answer was lost or the server
-// is much slower than before. It returns them and reports whether it must be called again for
-// the remaining calls. Their results occupy memory until they expire.
-func (s *Scheduler) Overdue(now time.Time) (late []*Call, again bool) {
+// AbandonOverdue abandons the calls that take far too long: either the answer was lost or the
+// server is much slower than before. It returns them and reports whether it must be called
+// again for the remaining calls. Their results occupy memory until they expire.
+func (s *Scheduler) AbandonOverdue(now time.Time) (late []*Call, again bool) {
 	for _, state := range s.servers {
 		for _, b := range slices.Clone(state.running) {
 			if b.cancelled {
@@ -49,11 +49,11 @@
 	b.server.reserve(fmt.Sprintf("lost %d", b.startedAt.UnixNano()), b.bytes, now.Add(s.spec.Hold))
 }
 
-// Unwanted returns the calls to cancel because no caller has waited for their pieces for
+// CancelUnwanted returns the calls to cancel because no caller has waited for their pieces for
 // unwantedGrace, and reports whether it must be called again. Their slots remain occupied
 // until the calls should have ended, since a stage server finishes a call even if its caller
 // has left.
-func (s *Scheduler) Unwanted(now time.Time) (cancelled []*Call, again bool) {
+func (s *Scheduler) CancelUnwanted(now time.Time) (cancelled []*Call, again bool) {
 	for _, state := range s.servers {
 		for _, b := range state.running {
 			switch {
--- a/internal/stageplan/queue_waits.go
+++ b/internal/stageplan/queue_waits.go
@@ -8,19 +8,19 @@
 	"time"
 )
 
-// dueSteps are the upper bounds of the time until work is due for which a Queue has waits. The
+// dueSteps are the upper bounds of the time until work is due for which QueueWaits has values. The
 // last one covers all work that is due later.
 var dueSteps = [...]time.Duration{
 	250 * time.Millisecond, 500 * time.Millisecond, 800 * time.Millisecond, 1200 * time.Millisecond,
 	1700 * time.Millisecond, 2300 * time.Millisecond, 3000 * time.Millisecond, math.MaxInt64,
 }
 
-// Queue has the expected wait of new work that is due within each of dueSteps. Work that is
+// QueueWaits has the expected wait of new work that is due within each of dueSteps. Work that is
 // due sooner goes first, so the waits never decrease.
-type Queue [len(dueSteps)]time.Duration
+type QueueWaits [len(dueSteps)]time.Duration
 
-// Before returns how long new work waits that is due within the given time.
-func (q Queue) Before(due time.Duration) time.Duration {
+// ForDue returns how long new work waits that is due within the given time.
+func (q QueueWaits) ForDue(due time.Duration) time.Duration {
 	return q[stepIndex(due)]
 }
 
@@ -35,6 +35,6 @@
 }
 
 // Longest returns how long work waits that is due last.
-func (q Queue) Longest() time.Duration {
+func (q QueueWaits) Longest() time.Duration {
 	return q[len(q)-1]
 }
--- a/internal/stageplan/rest_test.go
+++ b/internal/stageplan/rest_test.go
@@ -48,7 +48,7 @@
 	assert.Assert(t, ended && failure == stageplan.FailureResting, "%q", failure)
 	_, ended = longTask.Ended()
 	assert.Assert(t, !ended)
-	assert.Equal(t, s.Queue(start).Longest(), 2*time.Second)
+	assert.Equal(t, s.QueueWaits(start).Longest(), 2*time.Second)
 	delete(r, two.Instance)
 	assert.DeepEqual(t, requests(next(t, s, start)), []string{"long"})
 }
--- a/internal/stageplan/task.go
+++ b/internal/stageplan/task.go
@@ -100,8 +100,8 @@
 	return c.target
 }
 
-// Began returns when the call was built.
-func (c *Call) Began() time.Time {
+// StartedAt returns when the call was built.
+func (c *Call) StartedAt() time.Time {
 	return c.startedAt
 }
 
@@ -110,8 +110,8 @@
 	return c.expected
 }
 
-// Given reports whether the call was abandoned or cancelled.
-func (c *Call) Given() bool {
+// Abandoned reports whether the call was abandoned or cancelled.
+func (c *Call) Abandoned() bool {
 	return c.abandoned || c.cancelled
 }
 
@@ -121,12 +121,12 @@
 	for _, s := range c.items {
 		t := s.task
 		items = append(items, Item{
-			Request: t.Request,
-			Stage:   t.Stage,
-			Piece:   t.Pieces[s.position],
-			Key:     t.Key,
-			Inputs:  t.Inputs,
-			Left:    t.Deadline.Sub(c.startedAt),
+			Request:  t.Request,
+			Stage:    t.Stage,
+			Piece:    t.Pieces[s.position],
+			Key:      t.Key,
+			Inputs:   t.Inputs,
+			TimeLeft: t.Deadline.Sub(c.startedAt),
 		})
 	}
 	return items
--- a/internal/stageplan/work.go
+++ b/internal/stageplan/work.go
@@ -55,8 +55,8 @@
 	// Zone is where the inputs are held or the results will be used. If it is empty, any zone
 	// will do.
 	Zone string
-	// Homes are the regions whose servers may do the work. If it is empty, all may.
-	Homes []string
+	// AllowedRegions are the regions whose servers may do the work. If it is empty, all may.
+	AllowedRegions []string
 	// Workspace and Route identify the customer and the kind of the request.
 	Workspace string
 	Route     string
@@ -70,19 +70,19 @@
 	// piece.
 	ResultBytes int64
 	InputBytes  int64
-	// Beside says that while this work waits, servers hold other results of the request, or
-	// are about to.
-	Beside bool
+	// HoldsOtherResults says that while this work waits, servers hold other results of the
+	// request, or are about to.
+	HoldsOtherResults bool
 }
 
 // holdsRoom reports whether results occupy memory at other servers while the work waits.
 func (w *Work) holdsRoom() bool {
-	return w.Beside || w.InputBytes >= largeDataBytes
+	return w.HoldsOtherResults || w.InputBytes >= largeDataBytes
 }
 
 // Allows reports whether a server is in a region that may do the work.
 func (w *Work) Allows(s Server) bool {
-	return len(w.Homes) == 0 || slices.Contains(w.Homes, s.Region)
+	return len(w.AllowedRegions) == 0 || slices.Contains(w.AllowedRegions, s.Region)
 }
 
 // zoneSensitive reports whether the data is large enough that the work should be done in its
@@ -123,8 +123,8 @@
 	Piece   int
 	Key     string
 	Inputs  []string
-	// Left is how long the result remains of use.
-	Left time.Duration
+	// TimeLeft is how long the result remains of use.
+	TimeLeft time.Duration
 }
 
 // Outcome is a server's answer for one item: a handle or a failure.
--- a/internal/stagepool/backlog.go
+++ b/internal/stagepool/backlog.go
@@ -24,7 +24,7 @@
 // Backlog is the load of a shard's servers as last reported by the shard's owner.
 type Backlog struct {
 	// Waits is how long new work that can still meet its deadline waits at the shard.
-	Waits stageplan.Queue
+	Waits stageplan.QueueWaits
 	// Call is how long one call takes.
 	Call time.Duration
 	// At is when the backlog was measured, by this host's clock.
--- a/internal/stagepool/export_test.go
+++ b/internal/stagepool/export_test.go
@@ -17,7 +17,7 @@
 
 // Store stores a backlog with the given wait, measured at the given time.
 func (b Backlogs) Store(shard string, wait time.Duration, at time.Time) {
-	var waits stageplan.Queue
+	var waits stageplan.QueueWaits
 	for i := range waits {
 		waits[i] = wait
 	}
--- a/internal/stagepool/group.go
+++ b/internal/stagepool/group.go
@@ -189,7 +189,7 @@
 	g.mu.Lock()
 	shard := g.shardFor(w)
 	g.mu.Unlock()
-	for _, p := range g.options.Owners.Others(shard, maxOwnersTried) {
+	for _, p := range g.options.Owners.PeersFor(shard, maxOwnersTried) {
 		answer, err := g.runAtPeer(ctx, p, shard, w)
 		if err == nil {
 			return answer
@@ -282,7 +282,7 @@
 }
 
 func (g *Group) releaseShard(shard string, results []stageplan.Result) {
-	for _, p := range g.options.Owners.Others(shard, maxOwnersTried) {
+	for _, p := range g.options.Owners.PeersFor(shard, maxOwnersTried) {
 		ctx, cancel := context.WithTimeout(g.ctx, freeTimeout)
 		client := stagepb.NewStagesProtobufClient("http://"+p.Control.String(), g.options.HTTP)
 		_, err := client.Release(ctx, &stagepb.ReleaseRequest{Service: shard, Results: resultMessages(results)})
--- a/internal/stagepool/pool.go
+++ b/internal/stagepool/pool.go
@@ -90,10 +90,10 @@
 }
 
 // estimates returns the estimated wait of new work and the estimated time of a call.
-func (p *Pool) estimates() (waits stageplan.Queue, call time.Duration) {
+func (p *Pool) estimates() (waits stageplan.QueueWaits, call time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.scheduler.Queue(time.Now()), p.scheduler.CallTime()
+	return p.scheduler.QueueWaits(time.Now()), p.scheduler.CallTime()
 }
 
 // run executes the pieces of w and returns a result for each piece, or the reason of the
@@ -128,11 +128,11 @@
 // any. It schedules another run while work is left. The mutex must be held.
 func (p *Pool) dispatch() {
 	now := time.Now()
-	overdue, recheckNeeded := p.scheduler.Overdue(now)
+	overdue, recheckNeeded := p.scheduler.AbandonOverdue(now)
 	for _, c := range overdue {
 		p.cancelOverdue(now, c)
 	}
-	unwanted, moreUnwanted := p.scheduler.Unwanted(now)
+	unwanted, moreUnwanted := p.scheduler.CancelUnwanted(now)
 	recheckNeeded = recheckNeeded || moreUnwanted
 	for _, c := range unwanted {
 		p.cancels[c]()
@@ -163,7 +163,7 @@
 // logLongWait logs the state of the servers if work has been waiting for longWait, at most
 // once per longWaitLogInterval. The mutex must be held.
 func (p *Pool) logLongWait(now time.Time) {
-	oldest := p.scheduler.Oldest(now)
+	oldest := p.scheduler.OldestWait(now)
 	if oldest < longWait || now.Sub(p.longWaitLoggedAt) < longWaitLogInterval {
 		return
 	}
@@ -178,7 +178,7 @@
 	p.scope.Counter("calls_overdue").Inc(1)
 	p.log.WithFields(logrus.Fields{
 		"server": c.Server().Address, "instance": c.Server().Instance, "pieces": len(c.Items()),
-		"took_ms": now.Sub(c.Began()).Milliseconds(), "expected_ms": c.Expected().Milliseconds(),
+		"took_ms": now.Sub(c.StartedAt()).Milliseconds(), "expected_ms": c.Expected().Milliseconds(),
 	}).Info("stage call overdue; rescheduling its pieces")
 }
 
@@ -193,10 +193,10 @@
 	defer p.mu.Unlock()
 	p.cancels[c]()
 	delete(p.cancels, c)
-	if c.Given() {
+	if c.Abandoned() {
 		return
 	}
-	p.scope.Histogram("call_seconds", callTimeBuckets).RecordDuration(now.Sub(c.Began()))
+	p.scope.Histogram("call_seconds", callTimeBuckets).RecordDuration(now.Sub(c.StartedAt()))
 	if err == nil {
 		p.enqueueFree(p.scheduler.Finish(now, c, outcomes))
 		p.dispatch()
@@ -205,7 +205,7 @@
 	full := verdict.As(err).Reason == verdict.ReasonRefused
 	if !full {
 		p.log.WithError(err).WithFields(logrus.Fields{
-			"server": server.Address, "instance": server.Instance, "pieces": len(items), "took": now.Sub(c.Began()),
+			"server": server.Address, "instance": server.Instance, "pieces": len(items), "took": now.Sub(c.StartedAt()),
 		}).Warn("stage call failed; rescheduling its pieces")
 	}
 	p.scope.Counter("calls_failed").Inc(1)
--- a/internal/stagepool/service.go
+++ b/internal/stagepool/service.go
@@ -75,8 +75,8 @@
 		ResultBytes: w.ResultBytes,
 		InputBytes:  w.InputBytes,
 		Shard:       shard,
-		Beside:      w.Beside,
-		Homes:       w.Homes,
+		Beside:      w.HoldsOtherResults,
+		Homes:       w.AllowedRegions,
 	}
 	for _, p := range w.Pieces {
 		m.Pieces = append(m.Pieces, &stagepb.Piece{Index: int32(p)})
@@ -86,21 +86,21 @@
 
 func workFromMessage(now time.Time, m *stagepb.RunRequest) stageplan.Work {
 	w := stageplan.Work{
-		Service:     m.GetService(),
-		Request:     m.GetRequest(),
-		Stage:       int(m.GetStage()),
-		Key:         m.GetKey(),
-		Inputs:      m.GetInputs(),
-		Zone:        m.GetZone(),
-		Homes:       m.GetHomes(),
-		Workspace:   m.GetWorkspace(),
-		Route:       m.GetRoute(),
-		Latest:      now.Add(time.Duration(m.GetLatestMs()) * time.Millisecond),
-		Deadline:    now.Add(time.Duration(m.GetDeadlineMs()) * time.Millisecond),
-		Priority:    int(m.GetPriority()),
-		ResultBytes: max(m.GetResultBytes(), 0),
-		InputBytes:  max(m.GetInputBytes(), 0),
-		Beside:      m.GetBeside(),
+		Service:           m.GetService(),
+		Request:           m.GetRequest(),
+		Stage:             int(m.GetStage()),
+		Key:               m.GetKey(),
+		Inputs:            m.GetInputs(),
+		Zone:              m.GetZone(),
+		AllowedRegions:    m.GetHomes(),
+		Workspace:         m.GetWorkspace(),
+		Route:             m.GetRoute(),
+		Latest:            now.Add(time.Duration(m.GetLatestMs()) * time.Millisecond),
+		Deadline:          now.Add(time.Duration(m.GetDeadlineMs()) * time.Millisecond),
+		Priority:          int(m.GetPriority()),
+		ResultBytes:       max(m.GetResultBytes(), 0),
+		InputBytes:        max(m.GetInputBytes(), 0),
+		HoldsOtherResults: m.GetBeside(),
 	}
 	for _, p := range m.GetPieces() {
 		w.Pieces = append(w.Pieces, int(p.GetIndex()))
--- a/internal/stagepool/shard.go
+++ b/internal/stagepool/shard.go
@@ -74,7 +74,7 @@
 	// available is how many of the servers are not leaving.
 	available int
 	// servers holds the latest server at each address.
-	servers *owner.Divided[netip.AddrPort, stageplan.Server]
+	servers *owner.PartitionedMap[netip.AddrPort, stageplan.Server]
 }
 
 // serviceServers are the servers of a service, divided into shards.
@@ -112,7 +112,7 @@
 	zone := s.zones[server.Zone]
 	if zone == nil {
 		hash := func(address netip.AddrPort) uint64 { return owner.Score(address, "") }
-		zone = &zoneServers{region: server.Region, servers: owner.NewDivided[netip.AddrPort, stageplan.Server](shardSize, hash)}
+		zone = &zoneServers{region: server.Region, servers: owner.NewPartitionedMap[netip.AddrPort, stageplan.Server](shardSize, hash)}
 		s.zones[server.Zone] = zone
 		s.zoneNames = slices.Sorted(maps.Keys(s.zones))
 		s.shardsOutdated = true
@@ -149,7 +149,7 @@
 }
 
 func (z *zoneServers) get(address netip.AddrPort) (stageplan.Server, bool) {
-	existing, ok := z.servers.Part(z.servers.Of(address))[address]
+	existing, ok := z.servers.Part(z.servers.PartOf(address))[address]
 	return existing, ok
 }
 
@@ -157,7 +157,7 @@
 // of changes.
 func (s *serviceServers) updateShards(service string) {
 	for _, zone := range s.zones {
-		s.shardsOutdated = zone.servers.Divide() || s.shardsOutdated
+		s.shardsOutdated = zone.servers.Repartition() || s.shardsOutdated
 	}
 	if s.shardsOutdated || s.splitByZone() != (len(s.shards) > 1) {
 		s.shards, s.shardsOutdated = s.shardNames(service), false
@@ -254,7 +254,7 @@
 	}
 	owned.zoned, owned.zone = true, zone
 	if z := s.zones[zone]; z != nil {
-		owned.part = z.servers.Of(address)
+		owned.part = z.servers.PartOf(address)
 	}
 	return owned
 }
--- a/internal/trial/group.go
+++ b/internal/trial/group.go
@@ -178,7 +178,7 @@
 // Try begins a try of a suspected request, and reports false if one is in progress on any
 // host. The caller must call over at the end of the try, unless it ended a server.
 func (g *Group) Try(ctx context.Context, digest suspect.Digest) (over func(), ok bool) {
-	for _, p := range g.options.Owners.Others(digest.String(), maxOwnersTried) {
+	for _, p := range g.options.Owners.PeersFor(digest.String(), maxOwnersTried) {
 		granted, err := g.options.Ask(ctx, p.Control, digest)
 		if err == nil {
 			return func() { g.options.Tell(p.Control, digest) }, granted
