--- a/client/client.go
+++ b/client/client.go
@@ -125,7 +125,7 @@
 	if response.StatusCode != http.StatusOK {
 		return request.Addresses{}, fmt.Errorf("client: %s: status %d", node, response.StatusCode)
 	}
-	a, err := wire.ReadLoose[request.Addresses](response.Body, maxResponseBytes)
+	a, err := wire.ReadLenient[request.Addresses](response.Body, maxResponseBytes)
 	if err != nil {
 		return request.Addresses{}, fmt.Errorf("client: %w", err)
 	}
@@ -267,12 +267,12 @@
 	if response.StatusCode != http.StatusOK {
 		return request.Status{}, decodeRefusal(response.Body)
 	}
-	return wire.ReadLoose[request.Status](response.Body, maxResponseBytes)
+	return wire.ReadLenient[request.Status](response.Body, maxResponseBytes)
 }
 
 // decodeRefusal returns the error that the body of a response other than 200 OK describes.
 func decodeRefusal(body io.Reader) error {
-	failed, err := wire.ReadLoose[request.Failed](body, maxResponseBytes)
+	failed, err := wire.ReadLenient[request.Failed](body, maxResponseBytes)
 	if err != nil {
 		return verdict.New(verdict.Unknown, verdict.ReasonBadAnswer, "client: %w", err)
 	}
--- a/internal/backend/client.go
+++ b/internal/backend/client.go
@@ -65,7 +65,7 @@
 	if response.StatusCode != http.StatusOK {
 		return nil, report, refusalError(response)
 	}
-	answer, err := wire.ReadLoose[protocol.StageAnswer](response.Body, protocol.MaxResultBytes)
+	answer, err := wire.ReadLenient[protocol.StageAnswer](response.Body, protocol.MaxResultBytes)
 	if err != nil {
 		return nil, report, verdict.New(verdict.Unknown, verdict.ReasonBadAnswer, "backend: %s: %w", call.Server, err)
 	}
@@ -134,7 +134,7 @@
 // refusalError converts an answer whose status is not 200 into an error. Its verdict is
 // NotRun only if the server reports that the call was not started.
 func refusalError(response *http.Response) error {
-	body, _ := wire.ReadLoose[protocol.Refusal](response.Body, maxRefusalBytes)
+	body, _ := wire.ReadLenient[protocol.Refusal](response.Body, maxRefusalBytes)
 	v, reason := verdict.Unknown, verdict.ReasonServerFailed
 	if response.Header.Get(protocol.HeaderNotStarted) == "true" {
 		v, reason = verdict.NotRun, verdict.ReasonRefused
@@ -167,5 +167,5 @@
 	if response.StatusCode != http.StatusOK {
 		return zero, fmt.Errorf("backend: %s%s: status %d", server, path, response.StatusCode)
 	}
-	return wire.ReadLoose[T](response.Body, limit)
+	return wire.ReadLenient[T](response.Body, limit)
 }
--- a/internal/backend/engine.go
+++ b/internal/backend/engine.go
@@ -193,13 +193,13 @@
 	return get[protocol.EngineState](ctx, c, call.Server, protocol.PathLoad, maxStateBytes)
 }
 
-// Cache requests the cache events of an engine after a sequence number.
-func (c *Client) Cache(ctx context.Context, server netip.AddrPort, after uint64) (protocol.CacheEvents, error) {
+// CacheEvents requests the cache events of an engine after a sequence number.
+func (c *Client) CacheEvents(ctx context.Context, server netip.AddrPort, after uint64) (protocol.CacheEvents, error) {
 	return get[protocol.CacheEvents](ctx, c, server, protocol.PathCacheEvents+"?after="+strconv.FormatUint(after, 10), maxStateBytes)
 }
 
-// Order sends one order, once.
-func (c *Client) Order(ctx context.Context, call Call, order protocol.Order) (protocol.EngineState, error) {
+// SendOrder sends one order, once.
+func (c *Client) SendOrder(ctx context.Context, call Call, order protocol.Order) (protocol.EngineState, error) {
 	response, err := c.post(ctx, call, protocol.PathOrders, order)
 	if err != nil {
 		return protocol.EngineState{}, err
@@ -208,5 +208,5 @@
 	if response.StatusCode != http.StatusOK {
 		return protocol.EngineState{}, refusalError(response)
 	}
-	return wire.ReadLoose[protocol.EngineState](response.Body, maxStateBytes)
+	return wire.ReadLenient[protocol.EngineState](response.Body, maxStateBytes)
 }
--- a/internal/command/request.go
+++ b/internal/command/request.go
@@ -142,7 +142,7 @@
 	if response.StatusCode != http.StatusOK {
 		return fmt.Errorf("%s responded with status %s", c.Peer, strings.ToLower(response.Status))
 	}
-	v, err := wire.ReadLoose[any](response.Body, maxDumpBytes)
+	v, err := wire.ReadLenient[any](response.Body, maxDumpBytes)
 	if err != nil {
 		return err
 	}
--- a/internal/exchange/conn.go
+++ b/internal/exchange/conn.go
@@ -47,6 +47,6 @@
 	if c.reader.Buffered() > 0 {
 		return false
 	}
-	state := peek.Of(c.Conn)
+	state := peek.StateOf(c.Conn)
 	return state == peek.Quiet || state == peek.Unknown
 }
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -42,12 +42,12 @@
 	// Header must not contain Host, Content-Length or Transfer-Encoding.
 	Header http.Header
 	Body   []byte
-	// Fresh requires a new connection. The server may be about to close an idle one, and
-	// then it is unknown whether the request ran.
-	Fresh bool
-	// Mine reports whether an answer belongs to the request. Other answers are skipped:
-	// they are late answers to earlier requests. If Mine is nil, any answer is accepted.
-	Mine func(status int, header http.Header) bool
+	// NewConnection requires a new connection. The server may be about to close an idle
+	// one, and then it is unknown whether the request ran.
+	NewConnection bool
+	// Matches reports whether an answer belongs to the request. Other answers are skipped:
+	// they are late answers to earlier requests. If Matches is nil, any answer is accepted.
+	Matches func(status int, header http.Header) bool
 }
 
 // Answer is a backend server's answer. Its Body must be read to the end or closed.
@@ -69,7 +69,7 @@
 		return nil, verdict.New(verdict.NotRun, verdict.ReasonConnection, "exchange: not sent to %s: %w", call.Address, err)
 	}
 	var c *conn
-	if !call.Fresh {
+	if !call.NewConnection {
 		c = p.takeIdle(call.Address, time.Now())
 	}
 	reused := c != nil
@@ -161,7 +161,7 @@
 		if response.StatusCode < http.StatusOK {
 			continue
 		}
-		if e.call.Mine == nil || e.call.Mine(response.StatusCode, response.Header) {
+		if e.call.Matches == nil || e.call.Matches(response.StatusCode, response.Header) {
 			return e.newAnswer(response), nil
 		}
 		if stray++; stray > maxStrayAnswers || response.Close {
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -63,7 +63,7 @@
 func get(id string) exchange.Call {
 	return exchange.Call{
 		Address: server, Method: http.MethodGet, Target: "/a%2fb?c", Host: "h", Header: http.Header{"Id": {id}},
-		Mine: func(_ int, h http.Header) bool { return h.Get("Id") == id },
+		Matches: func(_ int, h http.Header) bool { return h.Get("Id") == id },
 	}
 }
 
@@ -109,12 +109,12 @@
 		}
 		assert.Equal(t, opened.Load(), int32(1))
 		fresh := get("4")
-		fresh.Fresh = true
+		fresh.NewConnection = true
 		_, err := read(t, pool, fresh)
 		assert.NilError(t, err)
 		assert.Equal(t, opened.Load(), int32(2))
 		time.Sleep(time.Minute)
-		pool.Prune(time.Now())
+		pool.CloseExpired(time.Now())
 		_, err = read(t, pool, get("5"))
 		assert.NilError(t, err)
 		assert.Equal(t, opened.Load(), int32(3))
--- a/internal/exchange/pool.go
+++ b/internal/exchange/pool.go
@@ -73,9 +73,9 @@
 	}
 }
 
-// Prune closes connections whose idle timeout has expired. It must be called about once a
-// second.
-func (p *Pool) Prune(now time.Time) {
+// CloseExpired closes connections whose idle timeout has expired. It must be called
+// about once a second.
+func (p *Pool) CloseExpired(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for address, list := range p.idle {
@@ -95,9 +95,9 @@
 	}
 }
 
-// Drop closes the idle connections to an address, for example because another server may
-// have it now.
-func (p *Pool) Drop(address netip.AddrPort) {
+// CloseIdle closes the idle connections to an address, for example because another
+// server may have it now.
+func (p *Pool) CloseIdle(address netip.AddrPort) {
 	p.mu.Lock()
 	list := p.idle[address]
 	delete(p.idle, address)
@@ -159,9 +159,9 @@
 	return c
 }
 
-// Refuses reports whether nothing listens at an address, which means that a server that
-// was there has ended.
-func (p *Pool) Refuses(ctx context.Context, address netip.AddrPort) bool {
+// RefusesConnections reports whether nothing listens at an address, which means that a
+// server that was there has ended.
+func (p *Pool) RefusesConnections(ctx context.Context, address netip.AddrPort) bool {
 	c, err := p.connect(ctx, address)
 	if err == nil {
 		_ = c.Close()
--- a/internal/gateway/maintenance.go
+++ b/internal/gateway/maintenance.go
@@ -46,7 +46,7 @@
 		n.logRejected(n.listed.TakeRejected())
 		if now.Sub(pruned) >= pruneInterval {
 			pruned = now
-			n.backends.Prune(now)
+			n.backends.CloseExpired(now)
 			n.suspects.Forget()
 			n.notices.Listed(n.serverTable.contains)
 			n.notices.Forget()
--- a/internal/gateway/ready.go
+++ b/internal/gateway/ready.go
@@ -163,7 +163,7 @@
 		return
 	}
 	n.log.Info("leaving")
-	n.core.Leave(end)
+	n.core.StartDrain(end)
 	n.view.Leave()
 	n.gossip.Announce(ctx, announceFanout)
 }
@@ -178,8 +178,8 @@
 		all = append(slices.Clip(all), callerEntry{address: n.settings.Callers, region: n.settings.Regions[n.settings.Zone]})
 	}
 	var entries []netip.AddrPort
-	if catalog := n.core.Catalog(); catalog != nil && catalog.Bound(host) {
-		entries = addressesIn(all, append(slices.Clone(catalog.HomesOf(host)), region))
+	if catalog := n.core.Catalog(); catalog != nil && catalog.RestrictsRegions(host) {
+		entries = addressesIn(all, append(slices.Clone(catalog.CommonRegions(host)), region))
 	}
 	if len(entries) == 0 {
 		entries = addressesIn(all, nil)
@@ -193,7 +193,7 @@
 }
 
 // addressesIn returns the addresses of the hosts in any of the regions.
-func addressesIn(entries []callerEntry, regions relay.Homes) []netip.AddrPort {
+func addressesIn(entries []callerEntry, regions relay.Regions) []netip.AddrPort {
 	var addresses []netip.AddrPort
 	for _, e := range entries {
 		if regions.Allow(e.region) {
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -165,7 +165,7 @@
 		switch {
 		case p.server == nil:
 			m.entryMissing(now, p.key, lines)
-		case p.server.Unusable != "":
+		case p.server.InvalidReason != "":
 			m.markUnusable(p, lines)
 		default:
 			m.upsert(now, p, lines)
@@ -221,7 +221,7 @@
 func (m *serverTable) markUnusable(p publishedServer, lines *batchLog) {
 	if !m.unusable[p.key] {
 		m.unusable[p.key] = true
-		lines.warn("an entry names no backend server", logrus.Fields{"key": p.key, "reason": p.server.Unusable})
+		lines.warn("an entry names no backend server", logrus.Fields{"key": p.key, "reason": p.server.InvalidReason})
 	}
 	m.dropReplaced(p.key, "", lines)
 }
--- a/internal/gateway/servers_test.go
+++ b/internal/gateway/servers_test.go
@@ -103,7 +103,7 @@
 func TestReplacedServerIsDroppedAtOnceAfterOutage(t *testing.T) {
 	for name, now := range map[string]relay.Server{
 		"it started again":        {Instance: "a@2", Address: netip.MustParseAddrPort("10.0.0.0:1")},
-		"its entry can't be read": {Unusable: "no JSON"},
+		"its entry can't be read": {InvalidReason: "no JSON"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			m := gateway.NewServerTable()
@@ -128,7 +128,7 @@
 func TestUnusableEntriesDoNotAffectOtherServers(t *testing.T) {
 	m := gateway.NewServerTable()
 	servers := listed("a", "b")
-	servers["servers/x"] = relay.Server{Unusable: "an unknown state"}
+	servers["servers/x"] = relay.Server{InvalidReason: "an unknown state"}
 	assert.Equal(t, len(m.Merge(start, servers, discardLog())), 2)
 	assert.Equal(t, len(m.Merge(start, servers, discardLog())), 2)
 }
--- a/internal/memnet/link.go
+++ b/internal/memnet/link.go
@@ -52,7 +52,7 @@
 func (c conn) Peek() peek.State {
 	delayed := c.link.network.isDelayed(c.remote.Addr(), c.local.Addr())
 	if c.link.closed[1-c.end].Load() && !delayed && !c.link.silent.Load() {
-		return peek.Ended
+		return peek.Closed
 	}
 	return peek.Unknown
 }
--- a/internal/node/callers.go
+++ b/internal/node/callers.go
@@ -234,7 +234,7 @@
 	detach := run.Attach()
 	defer detach()
 	control := http.NewResponseController(w)
-	events := wire.NewEvents(w)
+	events := wire.NewEventWriter(w)
 	started := false
 	for {
 		batch, ended, err := nextEvents(r.Context(), run, &cursor)
@@ -284,9 +284,9 @@
 	return events, ended, err
 }
 
-func keepAlive(control *http.ResponseController, events *wire.Events) error {
+func keepAlive(control *http.ResponseController, events *wire.EventWriter) error {
 	_ = control.SetWriteDeadline(time.Now().Add(writeTimeout))
-	if err := events.Alive(); err != nil {
+	if err := events.KeepAlive(); err != nil {
 		return err
 	}
 	return events.Flush()
--- a/internal/node/forward.go
+++ b/internal/node/forward.go
@@ -179,7 +179,7 @@
 
 // forwardedRefusal converts the issuer's refusal to an error.
 func forwardedRefusal(response *http.Response) error {
-	failed, err := wire.ReadLoose[request.Failed](response.Body, maxRefusalBytes)
+	failed, err := wire.ReadLenient[request.Failed](response.Body, maxRefusalBytes)
 	if err != nil {
 		return verdict.New(verdict.Unknown, verdict.ReasonIssuerUnreachable, "node: the issuer's refusal: %w", err)
 	}
--- a/internal/node/placer.go
+++ b/internal/node/placer.go
@@ -130,7 +130,7 @@
 		Adapters: step.Adapters,
 	}
 	call := backend.Call{Server: step.Engine, Request: n.table.Issue(1)[0], Stage: orderStage, Attempt: 1}
-	state, err = n.backends.Order(ctx, call, order)
+	state, err = n.backends.SendOrder(ctx, call, order)
 	p.recordOrder(step, err)
 	if err == nil {
 		n.pools.observeState(h, state)
--- a/internal/node/pools.go
+++ b/internal/node/pools.go
@@ -318,7 +318,7 @@
 	if cursor.instance != instance {
 		cursor = cacheCursor{instance: instance}
 	}
-	seen, err := p.node.backends.Cache(ctx, h.Address, cursor.after)
+	seen, err := p.node.backends.CacheEvents(ctx, h.Address, cursor.after)
 	if err != nil || pool == nil {
 		return
 	}
--- a/internal/peek/peek.go
+++ b/internal/peek/peek.go
@@ -22,9 +22,9 @@
 	Quiet
 	// Data means that unread bytes are pending.
 	Data
-	// Ended means that the other end closed or reset the connection, and no data is
+	// Closed means that the other end closed or reset the connection, and no data is
 	// pending.
-	Ended
+	Closed
 )
 
 // Peeker is a connection without a socket that reports its own state.
@@ -32,8 +32,8 @@
 	Peek() State
 }
 
-// Of returns the state of a connection.
-func Of(c net.Conn) State {
+// StateOf returns the state of a connection.
+func StateOf(c net.Conn) State {
 	if p, ok := c.(Peeker); ok {
 		return p.Peek()
 	}
@@ -43,12 +43,12 @@
 	}
 	raw, err := s.SyscallConn()
 	if err != nil {
-		return Ended
+		return Closed
 	}
-	state := Ended
+	state := Closed
 	err = raw.Control(func(fd uintptr) { state = socketState(int(fd)) })
 	if err != nil {
-		return Ended
+		return Closed
 	}
 	return state
 }
@@ -64,7 +64,7 @@
 		case err == nil && n > 0:
 			return Data
 		default:
-			return Ended
+			return Closed
 		}
 	}
 }
--- a/internal/peek/peek_test.go
+++ b/internal/peek/peek_test.go
@@ -37,20 +37,20 @@
 
 func TestStateOfConnection(t *testing.T) {
 	near, far := pair(t)
-	assert.Equal(t, peek.Of(near), peek.Quiet)
+	assert.Equal(t, peek.StateOf(near), peek.Quiet)
 	_, err := far.Write([]byte("ab"))
 	assert.NilError(t, err)
 	await(near)
-	assert.Equal(t, peek.Of(near), peek.Data)
+	assert.Equal(t, peek.StateOf(near), peek.Data)
 	await(near)
-	assert.Equal(t, peek.Of(near), peek.Quiet)
+	assert.Equal(t, peek.StateOf(near), peek.Quiet)
 	assert.NilError(t, far.Close())
 	await(near)
-	assert.Equal(t, peek.Of(near), peek.Ended)
+	assert.Equal(t, peek.StateOf(near), peek.Closed)
 	assert.NilError(t, near.Close())
-	assert.Equal(t, peek.Of(near), peek.Ended)
+	assert.Equal(t, peek.StateOf(near), peek.Closed)
 	pipe, _ := net.Pipe()
-	assert.Equal(t, peek.Of(pipe), peek.Unknown)
+	assert.Equal(t, peek.StateOf(pipe), peek.Unknown)
 }
 
 func TestResetMeansEnded(t *testing.T) {
@@ -60,5 +60,5 @@
 	assert.NilError(t, tcp.SetLinger(0))
 	assert.NilError(t, far.Close())
 	await(near)
-	assert.Equal(t, peek.Of(near), peek.Ended)
+	assert.Equal(t, peek.StateOf(near), peek.Closed)
 }
--- a/internal/publisher/client.go
+++ b/internal/publisher/client.go
@@ -99,7 +99,7 @@
 	err = readTimeouts.Do(c.http, r, func(response *http.Response) error {
 		switch response.StatusCode {
 		case http.StatusOK:
-			values, err = wire.ReadLoose[Values](response.Body, maxListingBytes)
+			values, err = wire.ReadLenient[Values](response.Body, maxListingBytes)
 			return err
 		case http.StatusGone:
 			return ErrCompacted
--- a/internal/relay/catalog.go
+++ b/internal/relay/catalog.go
@@ -24,10 +24,10 @@
 
 // Limits restrict the size and the duration of what callers send.
 type Limits struct {
-	HeaderBytes int
-	BodyBytes   int64
-	HeaderTime  time.Duration
-	IdleTime    time.Duration
+	HeaderBytes   int
+	BodyBytes     int64
+	HeaderTimeout time.Duration
+	IdleTimeout   time.Duration
 }
 
 // Workspace is one customer.
@@ -35,8 +35,8 @@
 	Name string
 	// Priority takes precedence over the route's; 0 is the most urgent.
 	Priority int
-	// Homes restricts the regions in addition to the route's Homes.
-	Homes Homes
+	// AllowedRegions applies in addition to the route's AllowedRegions.
+	AllowedRegions Regions
 }
 
 // Route defines how requests for one host and path prefix are served.
@@ -58,16 +58,16 @@
 	Timeout   time.Duration
 	Objective time.Duration
 	MaxGap    time.Duration
-	// FirstWithin is how long callers wait for the first event of a stream; 0 means as
-	// long as for the whole stream.
-	FirstWithin time.Duration
-	Priority    int
+	// FirstEventTimeout is how long callers wait for the first event of a stream; 0 means
+	// as long as for the whole stream.
+	FirstEventTimeout time.Duration
+	Priority          int
 	// MaxAttempts is the number of servers that one request may run on, at least 1.
 	MaxAttempts int
 	Targets     []Target
 	Stages      []Stage
-	// Homes are the regions in which the route's requests may be served.
-	Homes Homes
+	// AllowedRegions are the regions in which the route's requests may be served.
+	AllowedRegions Regions
 }
 
 // Target is a service that receives a share of a route's requests.
@@ -124,12 +124,12 @@
 type Server struct {
 	// Instance identifies one run of the server; a restarted server has another.
 	Instance string
-	// Unusable is the reason why an entry does not describe a server; the other fields are
-	// unset then.
-	Unusable string
-	Service  string
-	Address  netip.AddrPort
-	Zone     string
+	// InvalidReason is the reason why an entry does not describe a server; the other fields
+	// are unset then.
+	InvalidReason string
+	Service       string
+	Address       netip.AddrPort
+	Zone          string
 	// Region is the region of the zone; empty means unknown.
 	Region string
 	// Slots is the number of requests that the server works on concurrently.
--- a/internal/relay/core.go
+++ b/internal/relay/core.go
@@ -38,12 +38,12 @@
 	// Confirm checks that the configuration in force is the newest one, and reports
 	// whether the check succeeded.
 	Confirm func(ctx context.Context) bool
-	// Settled is closed once the host knows enough of the other hosts to determine the
+	// OwnersKnown is closed once the host knows enough of the other hosts to determine the
 	// owners of the pools; nil means that it knows them from the start.
-	Settled <-chan struct{}
-	// Heard is closed once another host has sent the list of requests during which servers
-	// crashed.
-	Heard <-chan struct{}
+	OwnersKnown <-chan struct{}
+	// SuspectsReceived is closed once another host has sent the list of requests during
+	// which servers crashed.
+	SuspectsReceived <-chan struct{}
 	// Boot returns the time of a clock that keeps running while the host is suspended.
 	Boot func() time.Duration
 	// Hosts returns the number of hosts that serve, including this one.
@@ -121,7 +121,7 @@
 
 		drain: newDrainState(),
 	}
-	c.crashes = newCrashDetector(o.Context, func(ctx context.Context, s Server) bool { return o.Servers.Refuses(ctx, s.Address) }, c.serverCrashed)
+	c.crashes = newCrashDetector(o.Context, func(ctx context.Context, s Server) bool { return o.Servers.RefusesConnections(ctx, s.Address) }, c.serverCrashed)
 	return c
 }
 
@@ -175,7 +175,7 @@
 	wait := time.NewTimer(left)
 	defer wait.Stop()
 	select {
-	case <-c.options.Heard:
+	case <-c.options.SuspectsReceived:
 	case <-ctx.Done():
 	case <-wait.C:
 	}
--- a/internal/relay/drain.go
+++ b/internal/relay/drain.go
@@ -39,9 +39,9 @@
 	return d
 }
 
-// Leave starts to drain the core: it refuses requests that may not be done by end, and at
-// end answers those that are not. It must be called at most once.
-func (c *Core) Leave(end time.Time) {
+// StartDrain starts to drain the core: it refuses requests that may not be done by end, and
+// at end answers those that are not. It must be called at most once.
+func (c *Core) StartDrain(end time.Time) {
 	c.drain.endsAt = end
 	c.drain.start()
 }
--- a/internal/relay/homes.go
+++ b/internal/relay/regions.go
@@ -5,16 +5,16 @@
 
 import "slices"
 
-// Homes are the regions in which requests may be served; an empty list allows all.
-type Homes []string
+// Regions are the regions in which requests may be served; an empty list allows all.
+type Regions []string
 
 // Allow reports whether a server or host in a region may serve.
-func (h Homes) Allow(region string) bool {
+func (h Regions) Allow(region string) bool {
 	return len(h) == 0 || slices.Contains(h, region)
 }
 
 // intersect returns the regions that both allow, and whether there are any.
-func (h Homes) intersect(other Homes) (Homes, bool) {
+func (h Regions) intersect(other Regions) (Regions, bool) {
 	if len(h) == 0 {
 		return other, true
 	}
@@ -25,12 +25,12 @@
 	return both, len(both) > 0
 }
 
-// HomesOf returns the regions common to all routes of a host name that restrict their
-// regions. It returns nil if no route does, or if they have no region in common.
-func (c *Catalog) HomesOf(host string) Homes {
-	var common Homes
+// CommonRegions returns the regions common to all routes of a host name that restrict
+// their regions. It returns nil if no route does, or if they have no region in common.
+func (c *Catalog) CommonRegions(host string) Regions {
+	var common Regions
 	for _, r := range c.routes[host] {
-		both, shared := common.intersect(r.Homes)
+		both, shared := common.intersect(r.AllowedRegions)
 		if !shared {
 			return nil
 		}
@@ -39,7 +39,7 @@
 	return common
 }
 
-// Bound reports whether any route of a host name restricts its regions.
-func (c *Catalog) Bound(host string) bool {
-	return slices.ContainsFunc(c.routes[host], func(r *Route) bool { return len(r.Homes) > 0 })
+// RestrictsRegions reports whether any route of a host name restricts its regions.
+func (c *Catalog) RestrictsRegions(host string) bool {
+	return slices.ContainsFunc(c.routes[host], func(r *Route) bool { return len(r.AllowedRegions) > 0 })
 }
--- a/internal/relay/homes_test.go
+++ b/internal/relay/regions_test.go
@@ -14,23 +14,23 @@
 func TestRegionsOfHostAreCommonToItsRoutes(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		routes []relay.Homes
+		routes []relay.Regions
 		bound  bool
-		want   relay.Homes
+		want   relay.Regions
 	}{
-		{"no homes", []relay.Homes{nil, nil}, false, nil},
-		{"one of two routes", []relay.Homes{nil, {"a"}}, true, relay.Homes{"a"}},
-		{"in common", []relay.Homes{{"a", "b"}, {"b", "c"}}, true, relay.Homes{"b"}},
-		{"nothing in common", []relay.Homes{{"a"}, {"b"}}, true, nil},
+		{"no homes", []relay.Regions{nil, nil}, false, nil},
+		{"one of two routes", []relay.Regions{nil, {"a"}}, true, relay.Regions{"a"}},
+		{"in common", []relay.Regions{{"a", "b"}, {"b", "c"}}, true, relay.Regions{"b"}},
+		{"nothing in common", []relay.Regions{{"a"}, {"b"}}, true, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var routes []relay.Route
 			for _, regions := range c.routes {
-				routes = append(routes, relay.Route{Host: "h", Prefix: "/", Homes: regions})
+				routes = append(routes, relay.Route{Host: "h", Prefix: "/", AllowedRegions: regions})
 			}
 			catalog := relay.NewCatalog(1, routes, nil, nil, relay.Limits{})
-			assert.Equal(t, catalog.Bound("h"), c.bound)
-			assert.DeepEqual(t, catalog.HomesOf("h"), c.want)
+			assert.Equal(t, catalog.RestrictsRegions("h"), c.bound)
+			assert.DeepEqual(t, catalog.CommonRegions("h"), c.want)
 		})
 	}
 }
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -26,10 +26,10 @@
 	Body   []byte
 	// Key is the caller's key, empty for none.
 	Key string
-	// Arrived is when the head was read. Patience is how long the caller waits from then
-	// on; 0 means unknown.
-	Arrived  time.Time
-	Patience time.Duration
+	// Arrived is when the head was read. CallerTimeout is how long the caller waits from
+	// then on; 0 means unknown.
+	Arrived       time.Time
+	CallerTimeout time.Duration
 	// Parts are the parts of the prompt in order. All but the last are shared with other
 	// requests. TokensIn and TokensOut are the sizes of the prompt and of its answer in
 	// tokens, 0 if unknown.
@@ -56,10 +56,10 @@
 	return 1
 }
 
-// Send is what a dialect adds to a request that is forwarded to a server.
-type Send struct {
+// ForwardInfo is what a dialect adds to a request that is forwarded to a server.
+type ForwardInfo struct {
 	Instance  string
-	Left      time.Duration
+	Remaining time.Duration
 	Workspace string
 	// Inputs are the handles of the results of the last stages.
 	Inputs []string
@@ -74,10 +74,10 @@
 type Head struct {
 	// NotRun means that the server did not run the request, and never will.
 	NotRun bool
-	// Gone means that an input was missing, Misdirected that another server has the
-	// address now. Both imply NotRun.
-	Gone        bool
-	Misdirected bool
+	// InputMissing means that an input was missing, Misdirected that another server has
+	// the address now. Both imply NotRun.
+	InputMissing bool
+	Misdirected  bool
 	// Signed means that the answer carries the server's signature.
 	Signed bool
 	// Notice is what the server reported about itself in the answer.
@@ -87,9 +87,9 @@
 // Dialect defines the header names on the wire.
 type Dialect interface {
 	// Header returns the headers of the forwarded request.
-	Header(request *Request, send Send) http.Header
-	// Mine reports whether an answer belongs to the request with the given id.
-	Mine(id string, status int, header http.Header) bool
+	Header(request *Request, send ForwardInfo) http.Header
+	// Matches reports whether an answer belongs to the request with the given id.
+	Matches(id string, status int, header http.Header) bool
 	// Head parses the head of an answer from the given run of a server.
 	Head(instance string, status int, header http.Header) Head
 }
--- a/internal/relay/send.go
+++ b/internal/relay/send.go
@@ -31,14 +31,14 @@
 	}
 	o := j.core.options
 	call := exchange.Call{
-		Address: s.Address,
-		Method:  j.Method,
-		Target:  j.Target,
-		Host:    j.Host,
-		Header:  o.Dialect.Header(j.Request, Send{Instance: s.Instance, Left: left, Workspace: j.workspace.Name, Inputs: inputs, LastEvent: lastEvent, CopyFrom: copyFrom}),
-		Body:    j.Body,
-		Fresh:   j.needsNewConnection(),
-		Mine:    func(status int, h http.Header) bool { return o.Dialect.Mine(j.ID, status, h) },
+		Address:       s.Address,
+		Method:        j.Method,
+		Target:        j.Target,
+		Host:          j.Host,
+		Header:        o.Dialect.Header(j.Request, ForwardInfo{Instance: s.Instance, Remaining: left, Workspace: j.workspace.Name, Inputs: inputs, LastEvent: lastEvent, CopyFrom: copyFrom}),
+		Body:          j.Body,
+		NewConnection: j.needsNewConnection(),
+		Matches:       func(status int, h http.Header) bool { return o.Dialect.Matches(j.ID, status, h) },
 	}
 	j.recordSend(s)
 	answer, err := o.Servers.Do(ctx, call)
@@ -60,7 +60,7 @@
 	if head.NotRun {
 		_ = answer.Body.Close()
 		if head.Misdirected {
-			o.Servers.Drop(s.Address)
+			o.Servers.CloseIdle(s.Address)
 		}
 		err = verdict.New(verdict.NotRun, verdict.ReasonRefused, "relay: %s did not run it: status %d", s.Instance, answer.Status)
 		j.logSendFailure(s, "not run", err)
--- a/internal/relay/serve.go
+++ b/internal/relay/serve.go
@@ -34,8 +34,8 @@
 // to see that it is incomplete.
 var ErrCut = errors.New("relay: answer was cut off")
 
-// ErrLeft means that the caller has disconnected.
-var ErrLeft = errors.New("relay: caller disconnected")
+// ErrDisconnected means that the caller has disconnected.
+var ErrDisconnected = errors.New("relay: caller disconnected")
 
 const (
 	// minRetryAfter is the minimum Retry-After of a refused caller.
@@ -54,7 +54,7 @@
 	service   *Service
 	catalog   *Catalog
 	// regions are the regions in which the request may be served.
-	regions Homes
+	regions Regions
 	// objective, firstDeadline and deadline are points in time. An answer is in time until
 	// objective, which is counted from the caller's first attempt; its first event is
 	// useful until firstDeadline, and the whole answer until deadline.
@@ -161,7 +161,7 @@
 
 // Serve serves one request and writes its answer to sink. An error before sink was started
 // is a *verdict.Error, and nothing was written; after that, the error is ErrCut. If the
-// caller has disconnected, it is ErrLeft.
+// caller has disconnected, it is ErrDisconnected.
 func (c *Core) Serve(ctx context.Context, r *Request, sink Sink) error {
 	j, err := c.admit(ctx, r)
 	if err != nil {
@@ -214,19 +214,19 @@
 		return nil, verdict.New(verdict.NotRun, verdict.ReasonNoServer, "relay: route %s names no known service", route.Name).After(minRetryAfter)
 	}
 	var anywhere bool
-	if j.regions, anywhere = route.Homes.intersect(workspace.Homes); !anywhere {
+	if j.regions, anywhere = route.AllowedRegions.intersect(workspace.AllowedRegions); !anywhere {
 		return nil, verdict.New(verdict.NotRun, verdict.ReasonNoServer, "relay: route %s and workspace %s share no home", route.Name, workspace.Name).After(notReadyRetryAfter)
 	}
 	held := route.Timeout
-	if r.Patience > 0 {
-		held = min(held, r.Patience)
+	if r.CallerTimeout > 0 {
+		held = min(held, r.CallerTimeout)
 	}
 	j.deadline = r.Arrived.Add(held)
 	j.bootDeadline = c.options.Boot() + time.Until(j.deadline)
 	j.objective = j.firstAttemptTime().Add(route.Objective)
 	j.firstDeadline = j.deadline
-	if route.FirstWithin > 0 {
-		j.firstDeadline = r.Arrived.Add(min(held, route.FirstWithin))
+	if route.FirstEventTimeout > 0 {
+		j.firstDeadline = r.Arrived.Add(min(held, route.FirstEventTimeout))
 	}
 	j.log = c.log.WithFields(logrus.Fields{"request": r.ID, "route": route.Name})
 	if err := j.checkDrainOnArrival(); err != nil {
@@ -301,7 +301,7 @@
 	switch {
 	case errors.Is(err, ErrCut):
 		return "cut"
-	case errors.Is(err, ErrLeft):
+	case errors.Is(err, ErrDisconnected):
 		return "left"
 	default:
 		return string(verdict.As(err).Reason)
@@ -326,7 +326,7 @@
 	case errors.Is(context.Cause(ctx), errDrained):
 		return j.drainRefusal()
 	default:
-		return ErrLeft
+		return ErrDisconnected
 	}
 }
 
--- a/internal/relay/servers.go
+++ b/internal/relay/servers.go
@@ -144,7 +144,7 @@
 // candidates returns the servers of a service that may receive work now, in the given
 // regions and without those in except. Servers ejected for failures are used if all are
 // ejected, and cold servers if there are no others.
-func (s *serverSet) candidates(service string, now time.Time, regions Homes, except []string) []*server {
+func (s *serverSet) candidates(service string, now time.Time, regions Regions, except []string) []*server {
 	var all, healthy, cold []*server
 	for _, k := range s.serversOf(service) {
 		if !s.accepts(k, regions) || slices.Contains(except, k.Instance) {
@@ -170,7 +170,7 @@
 }
 
 // choosePlain returns the server of a plain service that is expected to answer first.
-func (s *serverSet) choosePlain(service string, expected time.Duration, regions Homes, except []string) (Server, bool) {
+func (s *serverSet) choosePlain(service string, expected time.Duration, regions Regions, except []string) (Server, bool) {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -218,14 +218,14 @@
 
 // accepts reports whether a server may receive work from this host now, in the given
 // regions. The mutex must be held.
-func (s *serverSet) accepts(k *server, regions Homes) bool {
+func (s *serverSet) accepts(k *server, regions Regions) bool {
 	return !k.Closed() && regions.Allow(k.Region) && s.notices.Rest(k.Instance) == 0
 }
 
 // shortestRest returns how long it takes until the first server of a service may receive
 // work, in the given regions and without those in except. It is 0 if one may receive work
 // now, or if none will.
-func (s *serverSet) shortestRest(service string, regions Homes, except []string) time.Duration {
+func (s *serverSet) shortestRest(service string, regions Regions, except []string) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var soonest time.Duration
@@ -257,14 +257,14 @@
 
 // anyOpen reports whether any server of a service in the given regions accepts work, now
 // or after its rest.
-func (s *serverSet) anyOpen(service string, regions Homes) bool {
+func (s *serverSet) anyOpen(service string, regions Regions) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.ContainsFunc(s.serversOf(service), func(k *server) bool { return !k.Closed() && regions.Allow(k.Region) })
 }
 
 // homeZone returns the zone of the home engine of a prompt.
-func (s *serverSet) homeZone(service string, p placing.Prompt, regions Homes) string {
+func (s *serverSet) homeZone(service string, p placing.Prompt, regions Regions) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	group := s.byService[service]
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -123,7 +123,7 @@
 // together and do not know each other yet, each would choose servers on its own, and
 // several would overload the same ones.
 func (j *job) awaitOwners(ctx context.Context) error {
-	settled := j.core.options.Settled
+	settled := j.core.options.OwnersKnown
 	if settled == nil {
 		return nil
 	}
@@ -213,7 +213,7 @@
 
 // callerError returns err in the form that the caller receives.
 func (s *stream) callerError(err error) error {
-	if s.started && !errors.Is(err, ErrLeft) {
+	if s.started && !errors.Is(err, ErrDisconnected) {
 		s.job.log.WithError(err).WithField("events", s.splitter.events).Info("stream cut off")
 		return ErrCut
 	}
@@ -224,7 +224,7 @@
 // the final error if not.
 func (s *stream) checkResume(err error) error {
 	j := s.job
-	if errors.Is(err, ErrCut) || errors.Is(err, ErrLeft) {
+	if errors.Is(err, ErrCut) || errors.Is(err, ErrDisconnected) {
 		return err
 	}
 	if verdict.Of(err) == verdict.NotRun && !s.started {
@@ -251,7 +251,7 @@
 	answer, head, err := j.send(ctx, engine, g.inputHandles(), s.splitter.lastID, s.copyFrom)
 	if err != nil {
 		s.recordEngineOutcome(engine, 0, !head.NotRun && !endedExternally(ctx))
-		if head.Gone {
+		if head.InputMissing {
 			return errInputGone
 		}
 		switch {
--- a/internal/standin/order.go
+++ b/internal/standin/order.go
@@ -20,7 +20,7 @@
 }
 
 func (e *Engine) handleOrder(w http.ResponseWriter, r *http.Request) {
-	o, err := wire.ReadLoose[protocol.Order](r.Body, request.MaxBodyBytes)
+	o, err := wire.ReadLenient[protocol.Order](r.Body, request.MaxBodyBytes)
 	if err != nil {
 		e.refuse(w, r, http.StatusBadRequest, err.Error())
 		return
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -115,7 +115,7 @@
 		s.refuse(w, r, http.StatusBadRequest, err.Error())
 		return call, *new(T), false
 	}
-	body, err := wire.ReadLoose[T](r.Body, request.MaxBodyBytes)
+	body, err := wire.ReadLenient[T](r.Body, request.MaxBodyBytes)
 	if err != nil {
 		s.refuse(w, r, http.StatusBadRequest, err.Error())
 		return call, body, false
--- a/internal/standin/stream.go
+++ b/internal/standin/stream.go
@@ -71,7 +71,7 @@
 
 // sendEvents writes the events of a stream from an offset on until its end.
 func (e *Engine) sendEvents(w http.ResponseWriter, r *http.Request, s *stream, from int) {
-	events := wire.NewEvents(w)
+	events := wire.NewEventWriter(w)
 	_ = events.Flush()
 	cut := e.withProbability(e.currentKnobs().Cut)
 	for {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -33,9 +33,9 @@
 	return read[T](r, limit, true)
 }
 
-// ReadLoose is like Read but ignores unknown fields. It is meant for values from other
+// ReadLenient is like Read but ignores unknown fields. It is meant for values from other
 // systems.
-func ReadLoose[T any](r io.Reader, limit int64) (T, error) {
+func ReadLenient[T any](r io.Reader, limit int64) (T, error) {
 	return read[T](r, limit, false)
 }
 
@@ -79,22 +79,22 @@
 	return err
 }
 
-// Events writes a stream of server-sent events.
-type Events struct {
+// EventWriter writes a stream of server-sent events.
+type EventWriter struct {
 	w       http.ResponseWriter
 	control *http.ResponseController
 }
 
-// NewEvents prepares the stream: the status and headers are sent with the first event.
-func NewEvents(w http.ResponseWriter) *Events {
+// NewEventWriter prepares the stream: the status and headers are sent with the first event.
+func NewEventWriter(w http.ResponseWriter) *EventWriter {
 	w.Header().Set(ContentType, TypeEvents)
 	w.Header().Set("Cache-Control", "no-store")
-	return &Events{w: w, control: http.NewResponseController(w)}
+	return &EventWriter{w: w, control: http.NewResponseController(w)}
 }
 
 // Send writes one event with v as JSON. kind and id may be empty. The event is not
 // flushed.
-func (e *Events) Send(kind, id string, v any) error {
+func (e *EventWriter) Send(kind, id string, v any) error {
 	data, err := json.Marshal(v)
 	if err != nil {
 		return fmt.Errorf("wire: %w", err)
@@ -103,7 +103,7 @@
 }
 
 // SendText is like Send for data that is already text.
-func (e *Events) SendText(kind, id, data string) error {
+func (e *EventWriter) SendText(kind, id, data string) error {
 	m := sse.Message{}
 	m.AppendData(data)
 	if kind != "" {
@@ -116,8 +116,8 @@
 	return err
 }
 
-// Alive writes a comment, which only shows the client that the server is alive.
-func (e *Events) Alive() error {
+// KeepAlive writes a comment, which only shows the client that the server is alive.
+func (e *EventWriter) KeepAlive() error {
 	m := sse.Message{}
 	m.AppendComment("alive")
 	_, err := m.WriteTo(e.w)
@@ -125,6 +125,6 @@
 }
 
 // Flush sends buffered data to the client.
-func (e *Events) Flush() error {
+func (e *EventWriter) Flush() error {
 	return e.control.Flush()
 }
