--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -111,7 +111,7 @@
 				run.Chunk("token ")
 			}
 			run.End(time.Now(), request.Event{Type: request.EventDone, Done: &request.Done{ID: run.ID}})
-			requests.Ended(run)
+			requests.MarkEnded(run)
 		})
 		t.Logf("ended request of 17 chunks: %d -> %.0f bytes each", count, bytesEach)
 		bytesEach = heapBytes(count, func(int) {
--- a/internal/dispatch/pool.go
+++ b/internal/dispatch/pool.go
@@ -119,10 +119,10 @@
 	}
 }
 
-// SetSharers sets how many nodes send calls to each server of the pool. The node's
+// SetNodesPerServer sets how many nodes send calls to each server of the pool. The node's
 // limit at a server is set to its share of the server's slots whenever their number
 // changes.
-func (p *Pool) SetSharers(count int) {
+func (p *Pool) SetNodesPerServer(count int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.nodesPerServer = count
@@ -173,8 +173,8 @@
 	p.dispatch(time.Now())
 }
 
-// Warm records whether a server holds a prompt's prefix.
-func (p *Pool) Warm(prefix uint64, address netip.AddrPort, warm bool) {
+// SetPrefixHolder records whether a server holds a prompt's prefix.
+func (p *Pool) SetPrefixHolder(prefix uint64, address netip.AddrPort, warm bool) {
 	if prefix == 0 {
 		return
 	}
--- a/internal/dispatch/pool_test.go
+++ b/internal/dispatch/pool_test.go
@@ -138,14 +138,14 @@
 func TestServerHoldingPrefixIsPreferred(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPool(4, 4)
-		p.Warm(7, addresses[2], true)
+		p.SetPrefixHolder(7, addresses[2], true)
 		shortTask := task(time.Hour)
 		shortTask.Prefix, shortTask.Cost = 7, 10*time.Millisecond
 		g, err := p.Acquire(t.Context(), shortTask)
 		assert.NilError(t, err)
 		assert.Equal(t, g.Server, addresses[2])
 		g.Done(dispatch.Outcome{})
-		p.Warm(7, addresses[2], false)
+		p.SetPrefixHolder(7, addresses[2], false)
 		elsewhere := 0
 		for range 40 {
 			g, err := p.Acquire(t.Context(), shortTask)
--- a/internal/enginepool/group.go
+++ b/internal/enginepool/group.go
@@ -75,7 +75,7 @@
 // shardSeparator separates the service from the number in the name of a shard.
 const shardSeparator = "#"
 
-// New returns a group without engines. The reports that Silent sends are cancelled
+// New returns a group without engines. The calls of ReportSilent are cancelled
 // when ctx is done.
 func New(ctx context.Context, options Options) *Group {
 	return &Group{
@@ -236,9 +236,9 @@
 	}
 }
 
-// Silent reports to the owner of an engine that the engine has not answered a prompt in
+// ReportSilent reports to the owner of an engine that the engine has not answered a prompt in
 // significant time. It does so at once, as further prompts would be placed there meanwhile.
-func (g *Group) Silent(service, instance string) {
+func (g *Group) ReportSilent(service, instance string) {
 	g.mu.Lock()
 	shard := g.shardOfEngine(service, instance)
 	g.mu.Unlock()
@@ -256,9 +256,9 @@
 	g.reportLocally(shard, reports)
 }
 
-// Ended queues the report of a prompt that has ended. It is sent to the owner with the
+// QueueReport queues the report of a prompt that has ended. It is sent to the owner with the
 // next PlaceRequest.
-func (g *Group) Ended(service string, r placing.Report) {
+func (g *Group) QueueReport(service string, r placing.Report) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	shard := g.shardOfEngine(service, r.Instance)
--- a/internal/gateway/components.go
+++ b/internal/gateway/components.go
@@ -73,12 +73,12 @@
 	return trial.New(trial.Options{
 		Owners: owner.NewFinder(n.settings.Callers, n.live),
 		Spread: func(ends []suspect.End) { n.gossip.SpreadEnds(ends) },
-		Ask: func(ctx context.Context, peer netip.AddrPort, digest suspect.Digest) (bool, error) {
+		RequestTry: func(ctx context.Context, peer netip.AddrPort, digest suspect.Digest) (bool, error) {
 			return n.gossip.AskTry(ctx, peer, digest)
 		},
-		Tell:  func(peer netip.AddrPort, digest suspect.Digest) { n.gossip.TellTry(peer, digest) },
-		Log:   n.log,
-		Scope: n.options.Scope,
+		NotifyTryOver: func(peer netip.AddrPort, digest suspect.Digest) { n.gossip.TellTry(peer, digest) },
+		Log:           n.log,
+		Scope:         n.options.Scope,
 	})
 }
 
--- a/internal/gateway/maintenance.go
+++ b/internal/gateway/maintenance.go
@@ -47,9 +47,9 @@
 		if now.Sub(pruned) >= pruneInterval {
 			pruned = now
 			n.backends.CloseExpired(now)
-			n.suspects.Forget()
-			n.notices.Listed(n.serverTable.contains)
-			n.notices.Forget()
+			n.suspects.RemoveExpired()
+			n.notices.MarkListed(n.serverTable.contains)
+			n.notices.RemoveExpired()
 		}
 		timer.Reset(n.serverTable.nextExpiry(time.Now(), tickInterval))
 	}
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -17,11 +17,11 @@
 // newNotices returns the book of what backend servers announced about themselves.
 func (n *Node) newNotices() *notice.Book {
 	return notice.NewBook(notice.Options{
-		Boot:   n.options.Boot,
-		Random: rand.New(rand.NewPCG(n.options.Seed, noticesStream|uint64(n.settings.Callers.Port()))),
-		Log:    n.log,
-		Scope:  n.options.Scope,
-		Leaves: n.serverLeaves,
+		SinceBoot: n.options.Boot,
+		Random:    rand.New(rand.NewPCG(n.options.Seed, noticesStream|uint64(n.settings.Callers.Port()))),
+		Log:       n.log,
+		Scope:     n.options.Scope,
+		OnLeaving: n.serverLeaves,
 	})
 }
 
@@ -42,5 +42,5 @@
 
 // peerReportedLeaving records a peer's report that a backend server is leaving.
 func (n *Node) peerReportedLeaving(s fleet.LeavingServer) {
-	n.notices.Left(notice.Server{Instance: s.Instance, Address: s.Address}, notice.SourcePeer)
+	n.notices.RecordLeaving(notice.Server{Instance: s.Instance, Address: s.Address}, notice.SourcePeer)
 }
--- a/internal/gateway/refresh.go
+++ b/internal/gateway/refresh.go
@@ -109,7 +109,7 @@
 	s.Region = n.settings.Regions[s.Zone]
 	s.Evacuated = n.evacuation.zones[s.Zone]
 	if s.Leaving {
-		n.notices.Left(notice.Server{Instance: s.Instance, Address: s.Address}, notice.SourceList)
+		n.notices.RecordLeaving(notice.Server{Instance: s.Instance, Address: s.Address}, notice.SourceList)
 	} else {
 		s.Leaving = n.notices.Leaving(s.Instance)
 	}
--- a/internal/health/record.go
+++ b/internal/health/record.go
@@ -61,8 +61,8 @@
 	return 1 + r.excess
 }
 
-// Weighed returns cost divided by the square of the server's success rate.
-func (r *Record) Weighed(now time.Time, cost float64) float64 {
+// PenalizedCost returns cost divided by the square of the server's success rate.
+func (r *Record) PenalizedCost(now time.Time, cost float64) float64 {
 	r.decay(now)
 	successRate := max(1-r.failureRate, minSuccessRate)
 	return cost / (successRate * successRate)
@@ -78,19 +78,19 @@
 	return r.consecutiveFailures
 }
 
-// Try records that a request is sent to a server. If the server was ejected before, it gets
+// StartProbe records that a request is sent to a server. If the server was ejected before, it gets
 // no other request for probeTimeout unless this one is answered. Otherwise a silent engine
 // attracts requests after each ejection: at 25 requests a second, 16 of 162, as opposed to
 // none.
-func (r *Record) Try(now time.Time) {
+func (r *Record) StartProbe(now time.Time) {
 	if r.consecutiveFailures >= failuresToEject && !r.Ejected(now) {
 		r.ejectedUntil = now.Add(probeTimeout)
 	}
 }
 
-// Ended records an answer or a failure. Ratio is the time that it took relative to the
+// RecordOutcome records an answer or a failure. Ratio is the time that it took relative to the
 // expected time, or 0 if unknown.
-func (r *Record) Ended(now time.Time, ratio float64, failed bool) {
+func (r *Record) RecordOutcome(now time.Time, ratio float64, failed bool) {
 	r.decay(now)
 	if ratio > 0 {
 		r.excess += smoothing * (min(ratio, maxRatio) - 1 - r.excess)
--- a/internal/health/record_test.go
+++ b/internal/health/record_test.go
@@ -18,7 +18,7 @@
 	var r health.Record
 	assert.Equal(t, r.Ratio(start), 1.0)
 	for range 20 {
-		r.Ended(start, 5, false)
+		r.RecordOutcome(start, 5, false)
 	}
 	assert.Assert(t, r.Ratio(start) > 4)
 	assert.Assert(t, r.Ratio(start.Add(3*time.Second)) < 3.1)
@@ -27,18 +27,18 @@
 
 func TestFailuresRaiseCostAndEject(t *testing.T) {
 	var r health.Record
-	assert.Equal(t, r.Weighed(start, 1), 1.0)
-	r.Ended(start, 0, true)
+	assert.Equal(t, r.PenalizedCost(start, 1), 1.0)
+	r.RecordOutcome(start, 0, true)
 	assert.Assert(t, !r.Ejected(start), "one failure may be chance")
-	assert.Assert(t, r.Weighed(start, 1) > 1.5)
-	r.Ended(start, 0, true)
+	assert.Assert(t, r.PenalizedCost(start, 1) > 1.5)
+	r.RecordOutcome(start, 0, true)
 	assert.Assert(t, r.Ejected(start))
 	now := start.Add(time.Second)
 	assert.Assert(t, !r.Ejected(now), "it is tried again")
 	for range 20 {
-		r.Ended(now, 0, true)
+		r.RecordOutcome(now, 0, true)
 	}
 	assert.Assert(t, r.Ejected(now.Add(3*time.Second)) && !r.Ejected(now.Add(5*time.Second)))
-	r.Ended(now.Add(5*time.Second), 1, false)
+	r.RecordOutcome(now.Add(5*time.Second), 1, false)
 	assert.Equal(t, r.Failures(), 0)
 }
--- a/internal/node/callers.go
+++ b/internal/node/callers.go
@@ -197,7 +197,7 @@
 		n.refuse(w, verdict.New(verdict.Unknown, verdict.ReasonBadRequest, "node: attempt and from must be numbers from 0"))
 		return
 	}
-	n.stream(w, r, run, table.At(attempt, from))
+	n.stream(w, r, run, table.CursorAt(attempt, from))
 }
 
 func queryNumber(r *http.Request, name string) (int, error) {
--- a/internal/node/execute.go
+++ b/internal/node/execute.go
@@ -307,7 +307,7 @@
 		Costs:   j.costs,
 	}
 	j.run.End(time.Now(), request.Event{Type: request.EventDone, Done: &done})
-	n.table.Ended(j.run)
+	n.table.MarkEnded(j.run)
 	n.scope.Counter("answered").Inc(1)
 	n.scope.Timer("request").Record(time.Since(j.startedAt))
 }
@@ -341,7 +341,7 @@
 	case failed.Reason == verdict.ReasonLeaving:
 		n.table.Forget(j.run)
 	default:
-		n.table.Ended(j.run)
+		n.table.MarkEnded(j.run)
 	}
 }
 
--- a/internal/node/generate.go
+++ b/internal/node/generate.go
@@ -62,7 +62,7 @@
 		err = n.readStream(ctx, j, stream, last, &text)
 		if err == nil {
 			// The engine has just processed the prefix, whatever its cache events say.
-			s.pool.Warm(j.prefix(s), call.Server, true)
+			s.pool.SetPrefixHolder(j.prefix(s), call.Server, true)
 			result, marshalErr := json.Marshal(text.String())
 			return result, report, marshalErr
 		}
--- a/internal/node/pools.go
+++ b/internal/node/pools.go
@@ -159,7 +159,7 @@
 			Leaving:  h.Leaving || p.node.view.IsLeaving(h.Address, instance),
 		})
 	}
-	pool.SetSharers(p.sharers(len(hosts)))
+	pool.SetNodesPerServer(p.sharers(len(hosts)))
 	pool.SetServers(servers)
 }
 
@@ -323,7 +323,7 @@
 		return
 	}
 	for _, e := range seen.Events {
-		pool.Warm(e.Prefix, h.Address, e.Stored)
+		pool.SetPrefixHolder(e.Prefix, h.Address, e.Stored)
 	}
 	cursor.after = seen.Next
 	p.mu.Lock()
--- a/internal/notice/book.go
+++ b/internal/notice/book.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	// RestMost is the longest rest. After it, a request finds out whether the server still
+	// MaxRest is the longest rest. After it, a request finds out whether the server still
 	// wants none, so that a wrong value cannot leave the server idle forever.
-	RestMost = 5 * time.Minute
+	MaxRest = 5 * time.Minute
 	// Each host adds a random jitter to a rest, of up to jitterShare of its length and at
 	// most maxJitter. Without it, all hosts would send again at once, as the server answered
 	// them at about the same time.
@@ -32,22 +32,22 @@
 
 // Options holds the dependencies of a Book. All are required.
 type Options struct {
-	// Boot returns the time since boot, including time during which the host was suspended,
+	// SinceBoot returns the time since boot, including time during which the host was suspended,
 	// because a server's rest goes on during a suspension.
-	Boot   func() time.Duration
-	Random *rand.Rand
-	Log    logrus.FieldLogger
-	Scope  tally.Scope
-	// Leaves is called once for each run that is found to be leaving, with the source of
+	SinceBoot func() time.Duration
+	Random    *rand.Rand
+	Log       logrus.FieldLogger
+	Scope     tally.Scope
+	// OnLeaving is called once for each run that is found to be leaving, with the source of
 	// the information. The Book's mutex is not held.
-	Leaves func(s Server, source Source)
+	OnLeaving func(s Server, source Source)
 }
 
 // leavingRecord records that a run is leaving.
 type leavingRecord struct {
 	source Source
 	// receivedAt is when the notice was received, and lastListedAt when the run was last in
-	// the server list, or receivedAt if it has not been since. Both are by Boot.
+	// the server list, or receivedAt if it has not been since. Both are by SinceBoot.
 	receivedAt   time.Duration
 	lastListedAt time.Duration
 }
@@ -55,7 +55,7 @@
 // restRecord records that a run wants no requests from this host for a while.
 type restRecord struct {
 	// askedAt is when the run last asked for a rest, and endsAt when this host may send to it
-	// again. Both are by Boot.
+	// again. Both are by SinceBoot.
 	askedAt time.Duration
 	endsAt  time.Duration
 }
@@ -77,24 +77,24 @@
 	return &Book{options: options, leaving: make(map[string]*leavingRecord), resting: make(map[string]restRecord)}
 }
 
-// Heard records the notice in an answer of a server.
-func (b *Book) Heard(s Server, n Notice) {
+// RecordNotice records the notice in an answer of a server.
+func (b *Book) RecordNotice(s Server, n Notice) {
 	if n.Rest > 0 {
 		b.addRest(s, n.Rest)
 	}
 	if n.Leaving {
-		b.Left(s, SourceAnswer)
+		b.RecordLeaving(s, SourceAnswer)
 	}
 }
 
-// Left records that a run is leaving. Only the first notice of a run has an effect.
-func (b *Book) Left(s Server, source Source) {
+// RecordLeaving records that a run is leaving. Only the first notice of a run has an effect.
+func (b *Book) RecordLeaving(s Server, source Source) {
 	if !b.addLeaving(s, source) {
 		return
 	}
 	b.options.Scope.Tagged(map[string]string{"source": string(source)}).Counter("notices_leaving").Inc(1)
 	b.options.Log.WithFields(logrus.Fields{"server": s.Instance, "address": s.Address, "source": source}).Info("a backend server leaves")
-	b.options.Leaves(s, source)
+	b.options.OnLeaving(s, source)
 }
 
 // addLeaving stores that a run is leaving, and reports whether that is new.
@@ -108,7 +108,7 @@
 		b.options.Scope.Counter("notices_dropped").Inc(1)
 		return false
 	}
-	now := b.options.Boot()
+	now := b.options.SinceBoot()
 	b.leaving[s.Instance] = &leavingRecord{source: source, receivedAt: now, lastListedAt: now}
 	return true
 }
@@ -116,11 +116,11 @@
 // addRest stores that a run wants no requests from this host. It never shortens an
 // earlier rest.
 func (b *Book) addRest(s Server, asked time.Duration) {
-	now := b.options.Boot()
+	now := b.options.SinceBoot()
 	b.mu.Lock()
 	old, exists := b.resting[s.Instance]
 	wasResting := old.endsAt > now
-	endsAt := max(now+b.withJitter(min(asked, RestMost)), old.endsAt)
+	endsAt := max(now+b.withJitter(min(asked, MaxRest)), old.endsAt)
 	full := !exists && len(b.resting) >= maxServers
 	if !full {
 		b.resting[s.Instance] = restRecord{askedAt: now, endsAt: endsAt}
@@ -158,7 +158,7 @@
 	if !ok {
 		return 0
 	}
-	return max(r.endsAt-b.options.Boot(), 0)
+	return max(r.endsAt-b.options.SinceBoot(), 0)
 }
 
 // Resting returns the runs that this host must send nothing to, in no particular order.
@@ -168,7 +168,7 @@
 	if len(b.resting) == 0 {
 		return nil
 	}
-	now := b.options.Boot()
+	now := b.options.SinceBoot()
 	var resting []string
 	for instance, r := range b.resting {
 		if r.endsAt > now {
@@ -178,10 +178,10 @@
 	return resting
 }
 
-// Listed updates when the leaving runs were last in the server list, so that those that
+// MarkListed updates when the leaving runs were last in the server list, so that those that
 // still are do not expire. It must be called about once a second.
-func (b *Book) Listed(isListed func(instance string) bool) {
-	now := b.options.Boot()
+func (b *Book) MarkListed(isListed func(instance string) bool) {
+	now := b.options.SinceBoot()
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for instance, l := range b.leaving {
@@ -191,10 +191,10 @@
 	}
 }
 
-// Forget removes ended rests and leaving runs that have not been listed for leavingTTL. It
+// RemoveExpired removes ended rests and leaving runs that have not been listed for leavingTTL. It
 // must be called about once a second.
-func (b *Book) Forget() {
-	now := b.options.Boot()
+func (b *Book) RemoveExpired() {
+	now := b.options.SinceBoot()
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for instance, r := range b.resting {
@@ -226,7 +226,7 @@
 
 // State returns up to most of the runs that are leaving or resting, ordered by instance.
 func (b *Book) State(most int) []Entry {
-	now := b.options.Boot()
+	now := b.options.SinceBoot()
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	byInstance := make(map[string]Entry)
--- a/internal/notice/book_test.go
+++ b/internal/notice/book_test.go
@@ -20,7 +20,7 @@
 // clock is the boot-time clock of a host.
 type clock struct{ now time.Duration }
 
-// leavingCalls records the calls of Options.Leaves.
+// leavingCalls records the calls of Options.OnLeaving.
 type leavingCalls struct{ lines []string }
 
 func newBook(t *testing.T) (*notice.Book, *clock, *leavingCalls) {
@@ -29,11 +29,11 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return notice.NewBook(notice.Options{
-		Boot:   func() time.Duration { return c.now },
-		Random: rand.New(rand.NewPCG(1, 1)),
-		Log:    log,
-		Scope:  tally.NoopScope,
-		Leaves: func(s notice.Server, from notice.Source) {
+		SinceBoot: func() time.Duration { return c.now },
+		Random:    rand.New(rand.NewPCG(1, 1)),
+		Log:       log,
+		Scope:     tally.NoopScope,
+		OnLeaving: func(s notice.Server, from notice.Source) {
 			calls.lines = append(calls.lines, fmt.Sprintf("%s by %s", s.Instance, from))
 		},
 	}), c, calls
@@ -43,9 +43,9 @@
 
 func TestLeavingAppliesToOneRun(t *testing.T) {
 	b, _, calls := newBook(t)
-	b.Heard(run("i-1@5"), notice.Notice{Leaving: true})
-	b.Heard(run("i-1@5"), notice.Notice{})
-	b.Left(run("i-1@5"), notice.SourcePeer)
+	b.RecordNotice(run("i-1@5"), notice.Notice{Leaving: true})
+	b.RecordNotice(run("i-1@5"), notice.Notice{})
+	b.RecordLeaving(run("i-1@5"), notice.SourcePeer)
 	assert.Assert(t, b.Leaving("i-1@5"))
 	assert.Assert(t, !b.Leaving("i-1@6"), "a new run under the same id")
 	assert.DeepEqual(t, calls.lines, []string{"i-1@5 by answer"})
@@ -54,12 +54,12 @@
 // A run stays leaving for as long as it is listed. Otherwise it is removed after an hour.
 func TestLeavingExpiresWhenRunIsNoLongerListed(t *testing.T) {
 	b, c, _ := newBook(t)
-	b.Left(run("listed"), notice.SourceList)
-	b.Left(run("gone"), notice.SourceAnswer)
+	b.RecordLeaving(run("listed"), notice.SourceList)
+	b.RecordLeaving(run("gone"), notice.SourceAnswer)
 	for range 3 {
 		c.now += 50 * time.Minute
-		b.Listed(func(instance string) bool { return instance == "listed" })
-		b.Forget()
+		b.MarkListed(func(instance string) bool { return instance == "listed" })
+		b.RemoveExpired()
 	}
 	assert.Assert(t, b.Leaving("listed"))
 	assert.Assert(t, !b.Leaving("gone"))
@@ -69,7 +69,7 @@
 // suspended in the meantime.
 func TestRestEndsAfterRequestedTime(t *testing.T) {
 	b, c, _ := newBook(t)
-	b.Heard(run("i-1"), notice.Notice{Rest: 3 * time.Second})
+	b.RecordNotice(run("i-1"), notice.Notice{Rest: 3 * time.Second})
 	c.now += 3*time.Second - time.Millisecond
 	assert.Assert(t, b.Rest("i-1") > 0)
 	assert.Equal(t, b.Rest("i-2"), time.Duration(0))
@@ -79,12 +79,12 @@
 
 func TestShorterRestDoesNotReplaceLongerOne(t *testing.T) {
 	b, c, _ := newBook(t)
-	b.Heard(run("i-1"), notice.Notice{Rest: 10 * time.Second})
+	b.RecordNotice(run("i-1"), notice.Notice{Rest: 10 * time.Second})
 	c.now += time.Second
-	b.Heard(run("i-1"), notice.Notice{Rest: time.Second})
+	b.RecordNotice(run("i-1"), notice.Notice{Rest: time.Second})
 	assert.Assert(t, b.Rest("i-1") >= 9*time.Second)
-	b.Heard(run("i-2"), notice.Notice{Rest: 24 * time.Hour})
-	assert.Assert(t, b.Rest("i-2") <= notice.RestMost+time.Second, "%v", b.Rest("i-2"))
+	b.RecordNotice(run("i-2"), notice.Notice{Rest: 24 * time.Hour})
+	assert.Assert(t, b.Rest("i-2") <= notice.MaxRest+time.Second, "%v", b.Rest("i-2"))
 }
 
 // A server answers many hosts at about the same time. Their rests must not all end at once.
@@ -93,7 +93,7 @@
 	var shortest, longest time.Duration
 	for i := range 50 {
 		s := run(fmt.Sprint(i))
-		b.Heard(s, notice.Notice{Rest: 3 * time.Second})
+		b.RecordNotice(s, notice.Notice{Rest: 3 * time.Second})
 		rest := b.Rest(s.Instance)
 		if i == 0 {
 			shortest, longest = rest, rest
@@ -107,13 +107,13 @@
 	const many = 10_000
 	b, c, _ := newBook(t)
 	for i := range many {
-		b.Heard(run(fmt.Sprint(i)), notice.Notice{Leaving: true, Rest: time.Second})
+		b.RecordNotice(run(fmt.Sprint(i)), notice.Notice{Leaving: true, Rest: time.Second})
 	}
 	assert.Assert(t, len(b.State(many)) < many)
 	c.now += 2 * time.Hour
-	b.Forget()
+	b.RemoveExpired()
 	assert.Equal(t, len(b.State(many)), 0)
-	b.Heard(run("new"), notice.Notice{Leaving: true, Rest: time.Second})
+	b.RecordNotice(run("new"), notice.Notice{Leaving: true, Rest: time.Second})
 	state := b.State(many)
 	assert.Equal(t, len(state), 1)
 	assert.Equal(t, state[0].Source, notice.SourceAnswer)
--- a/internal/peer/ends.go
+++ b/internal/peer/ends.go
@@ -39,7 +39,7 @@
 	// bytes each. Without a limit, nodes that dropped the oldest of too many ends would
 	// receive them again with each heartbeat.
 	endRate  = 1000
-	endBurst = 2 * suspect.EndsMost
+	endBurst = 2 * suspect.MaxEnds
 	// tryTimeout bounds a request for a try. The owner answers at once.
 	tryTimeout = 100 * time.Millisecond
 )
@@ -56,7 +56,7 @@
 	if len(g.pendingEnds) == 0 {
 		time.AfterFunc(batchWindow, g.spreadPendingEnds)
 	}
-	if len(g.pendingEnds) < suspect.EndsMost {
+	if len(g.pendingEnds) < suspect.MaxEnds {
 		g.pendingEnds = append(g.pendingEnds, ends...)
 	}
 }
@@ -66,7 +66,7 @@
 	ends := g.pendingEnds
 	g.pendingEnds = nil
 	g.mu.Unlock()
-	request := &peerpb.EndsRequest{Ends: endMessages(time.Now(), ends[:min(len(ends), suspect.EndsMost)])}
+	request := &peerpb.EndsRequest{Ends: endMessages(time.Now(), ends[:min(len(ends), suspect.MaxEnds)])}
 	for _, m := range g.pickLive(Fanout, netip.AddrPort{}) {
 		g.enqueue(func(ctx context.Context) { _, _ = g.sendEnds(ctx, m.Peer, request) })
 	}
@@ -154,7 +154,7 @@
 	if g.options.Suspects == nil {
 		return &peerpb.EndsReply{}, nil
 	}
-	if len(in.GetEnds()) > suspect.EndsMost {
+	if len(in.GetEnds()) > suspect.MaxEnds {
 		return nil, twirp.InvalidArgumentError("ends", "too many")
 	}
 	g.mergeEnds(in.GetEnds())
@@ -183,7 +183,7 @@
 func endMessages(now time.Time, ends []suspect.End) []*peerpb.End {
 	messages := make([]*peerpb.End, 0, len(ends))
 	for _, e := range ends {
-		age := min(max(now.Sub(e.At).Milliseconds(), 0), math.MaxUint32)
+		age := min(max(now.Sub(e.EndedAt).Milliseconds(), 0), math.MaxUint32)
 		messages = append(messages, &peerpb.End{
 			Request: uint64(e.Request), Server: uint64(e.Server), Answered: e.Answered, Cleared: e.Cleared, AgeMs: uint32(age),
 		})
@@ -199,7 +199,7 @@
 			Server:   suspect.Server(m.GetServer()),
 			Answered: m.GetAnswered(),
 			Cleared:  m.GetCleared(),
-			At:       now.Add(-time.Duration(m.GetAgeMs()) * time.Millisecond),
+			EndedAt:  now.Add(-time.Duration(m.GetAgeMs()) * time.Millisecond),
 		})
 	}
 	return ends
--- a/internal/placing/scheduler.go
+++ b/internal/placing/scheduler.go
@@ -188,7 +188,7 @@
 	if r.FirstEventTime > 0 && r.Expected > 0 {
 		ratio = r.FirstEventTime.Seconds() / r.Expected.Seconds()
 	}
-	e.health.Ended(now, ratio, r.Failed)
+	e.health.RecordOutcome(now, ratio, r.Failed)
 }
 
 // Place selects the engine with the lowest cost and records the prompt there.
@@ -212,7 +212,7 @@
 	}
 	readPlan := newReadPlan(best, p, b.missing(now, best, p), from)
 	nominal := readPlan.duration(best, p)
-	best.health.Try(now)
+	best.health.StartProbe(now)
 	if best.ColdRateLimit > 0 {
 		best.recentPrompts.add(now)
 	}
@@ -323,7 +323,7 @@
 		rank = maxRanks
 	}
 	cost += time.Duration(rank) * rankPenalty
-	return time.Duration(e.health.Weighed(now, float64(cost+Overhead)))
+	return time.Duration(e.health.PenalizedCost(now, float64(cost+Overhead)))
 }
 
 func (b *Scheduler) isCached(now time.Time, part uint64, instance string) bool {
--- a/internal/relay/crash.go
+++ b/internal/relay/crash.go
@@ -225,9 +225,9 @@
 	c.scope.Counter("requests_lain").Inc(int64(len(requests)))
 	ends := make([]suspect.End, 0, len(requests))
 	for _, r := range requests {
-		ends = append(ends, suspect.End{Request: r.digest, Server: suspect.ServerOf(s.Instance), Answered: r.answered, At: r.failedAt})
+		ends = append(ends, suspect.End{Request: r.digest, Server: suspect.ServerOf(s.Instance), Answered: r.answered, EndedAt: r.failedAt})
 		c.log.WithFields(logrus.Fields{"server": s.Instance, "service": s.Service, "digest": r.digest, "answered": r.answered}).
 			Info("a backend server crashed while serving a request")
 	}
-	c.options.Suspects.Ended(ends)
+	c.options.Suspects.RecordEnds(ends)
 }
--- a/internal/relay/send.go
+++ b/internal/relay/send.go
@@ -56,7 +56,7 @@
 		return nil, Head{}, err
 	}
 	head := o.Dialect.Head(s.Instance, answer.Status, answer.Header)
-	o.Notices.Heard(notice.Server{Instance: s.Instance, Address: s.Address}, head.Notice)
+	o.Notices.RecordNotice(notice.Server{Instance: s.Instance, Address: s.Address}, head.Notice)
 	if head.NotRun {
 		_ = answer.Body.Close()
 		if head.Misdirected {
--- a/internal/relay/serve.go
+++ b/internal/relay/serve.go
@@ -185,7 +185,7 @@
 	}
 	if err == nil {
 		j.recordDurations()
-		c.options.Suspects.Answered(j.digest())
+		c.options.Suspects.RecordAnswer(j.digest())
 	}
 	c.logOutcome(j, r, err)
 	return err
--- a/internal/relay/servers.go
+++ b/internal/relay/servers.go
@@ -193,7 +193,7 @@
 	if k.Zone != s.zone {
 		cost += crossZoneLatency.Seconds()
 	}
-	return k.health.Weighed(now, cost) * (1 + 0.1*s.random.Float64())
+	return k.health.PenalizedCost(now, cost) * (1 + 0.1*s.random.Float64())
 }
 
 // startRequest counts a request as running on the chosen server.
@@ -294,7 +294,7 @@
 		return
 	}
 	k.running = max(k.running-1, 0)
-	k.health.Ended(time.Now(), ratio, failed)
+	k.health.RecordOutcome(time.Now(), ratio, failed)
 }
 
 // ServerState is the state of a backend server in the dump.
--- a/internal/relay/shed.go
+++ b/internal/relay/shed.go
@@ -72,7 +72,7 @@
 	j := g.job
 	return g.criticalPath(len(j.route.Stages), func(service string) time.Duration {
 		backlog, _ := j.core.options.Stages.Backlog(service)
-		return backlog.Waits.ForDue(slack + backlog.Call + stageplan.PriorityOffset(j.priority()))
+		return backlog.Waits.ForDue(slack + backlog.CallTime + stageplan.PriorityOffset(j.priority()))
 	})
 }
 
--- a/internal/relay/stages.go
+++ b/internal/relay/stages.go
@@ -143,7 +143,7 @@
 	if !known {
 		return time.Duration(callTimeFactor*float64(s.Batch.CallTime)) + stageOverhead
 	}
-	return backlog.Call + stageOverhead
+	return backlog.CallTime + stageOverhead
 }
 
 // run processes all pieces. Each stage starts as soon as the stages before it have ended,
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -206,7 +206,7 @@
 		// since.
 		return
 	}
-	c.options.Engines.Ended(s.job.service.Name, placing.Report{
+	c.options.Engines.QueueReport(s.job.service.Name, placing.Report{
 		Instance: engine.Instance, FirstEventTime: first, Expected: s.expectedFirstEvent, Failed: failed,
 	})
 }
--- a/internal/relay/trial.go
+++ b/internal/relay/trial.go
@@ -30,12 +30,12 @@
 // work on it. Otherwise each of its attempts, which may arrive at any host with another
 // id, would crash another server.
 func (j *job) checkHarmful() error {
-	v := j.core.options.Suspects.Of(j.digest())
-	if v.State != suspect.Kept {
+	v := j.core.options.Suspects.Assess(j.digest())
+	if v.State != suspect.Quarantined {
 		return nil
 	}
 	j.core.scope.Counter("suspects_refused").Inc(1)
-	return j.refuse(ReasonHarmful, time.Until(v.Until), "%d servers ended under it", v.Counted)
+	return j.refuse(ReasonHarmful, time.Until(v.Until), "%d servers ended under it", v.Attributed)
 }
 
 // awaitTrial waits until a request may be sent: a suspected one only when no identical
@@ -47,20 +47,20 @@
 		if err := j.checkHarmful(); err != nil {
 			return err
 		}
-		v := j.core.options.Suspects.Of(j.digest())
+		v := j.core.options.Suspects.Assess(j.digest())
 		if v.State == suspect.Free {
 			return nil
 		}
 		release, ok := j.core.options.Suspects.Try(ctx, j.digest())
 		if ok {
 			j.core.scope.Counter("suspects_tried").Inc(1)
-			j.log.WithFields(logrus.Fields{"digest": j.digest(), "ends": v.Ends, "counted": v.Counted}).Info("trial of a suspected request started")
+			j.log.WithFields(logrus.Fields{"digest": j.digest(), "ends": v.Ends, "counted": v.Attributed}).Info("trial of a suspected request started")
 			j.setTrial(release)
 			return nil
 		}
 		if !time.Now().Before(until) {
 			j.core.scope.Counter("suspects_refused").Inc(1)
-			return j.refuse(ReasonHarmful, trialRetryAfter, "another like it is being tried, %d servers ended under it", v.Counted)
+			return j.refuse(ReasonHarmful, trialRetryAfter, "another like it is being tried, %d servers ended under it", v.Attributed)
 		}
 		if err := j.sleep(ctx, trialRetryDelay); err != nil {
 			return err
@@ -101,5 +101,5 @@
 
 // suspected reports whether any server crashed while it worked on the request.
 func (j *job) suspected() bool {
-	return j.core.options.Suspects.Of(j.digest()).Ends > 0
+	return j.core.options.Suspects.Assess(j.digest()).Ends > 0
 }
--- a/internal/relay/watchdog.go
+++ b/internal/relay/watchdog.go
@@ -44,7 +44,7 @@
 		j.core.scope.Counter("engines_silent").Inc(1)
 		j.log.WithFields(logrus.Fields{"server": engine.Instance, "after_ms": after.Milliseconds(), "expected_ms": s.expectedFirstEvent.Milliseconds()}).
 			Info("the first event is overdue")
-		j.core.options.Engines.Silent(j.service.Name, engine.Instance)
+		j.core.options.Engines.ReportSilent(j.service.Name, engine.Instance)
 	})
 }
 
--- a/internal/stagepool/backlog.go
+++ b/internal/stagepool/backlog.go
@@ -25,10 +25,10 @@
 type Backlog struct {
 	// Waits is how long new work that can still meet its deadline waits at the shard.
 	Waits stageplan.QueueWaits
-	// Call is how long one call takes.
-	Call time.Duration
-	// At is when the backlog was measured, by this host's clock.
-	At time.Time
+	// CallTime is how long one call takes.
+	CallTime time.Duration
+	// MeasuredAt is when the backlog was measured, by this host's clock.
+	MeasuredAt time.Time
 }
 
 // backlogCache holds the newest known backlog of each shard. Hosts exchange backlogs with
@@ -47,7 +47,7 @@
 func (b *backlogCache) store(shard string, backlog Backlog) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if known, ok := b.byShard[shard]; ok && known.At.After(backlog.At) {
+	if known, ok := b.byShard[shard]; ok && known.MeasuredAt.After(backlog.MeasuredAt) {
 		return
 	}
 	b.byShard[shard] = backlog
@@ -59,7 +59,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	backlog, ok := b.byShard[shard]
-	return backlog, ok && time.Since(backlog.At) <= backlogTTL
+	return backlog, ok && time.Since(backlog.MeasuredAt) <= backlogTTL
 }
 
 // messages returns up to maxBacklogs backlogs, the newest first, and removes the expired
@@ -69,12 +69,12 @@
 	defer b.mu.Unlock()
 	var messages []*stagepb.Backlog
 	for shard, backlog := range b.byShard {
-		age := now.Sub(backlog.At)
+		age := now.Sub(backlog.MeasuredAt)
 		if age > backlogTTL {
 			delete(b.byShard, shard)
 			continue
 		}
-		m := &stagepb.Backlog{Shard: shard, CallMs: backlog.Call.Milliseconds(), AgeMs: age.Milliseconds()}
+		m := &stagepb.Backlog{Shard: shard, CallMs: backlog.CallTime.Milliseconds(), AgeMs: age.Milliseconds()}
 		for _, wait := range backlog.Waits {
 			m.WaitsMs = append(m.WaitsMs, wait.Milliseconds())
 		}
@@ -87,7 +87,7 @@
 // merge stores the backlogs that another host sent.
 func (b *backlogCache) merge(now time.Time, messages []*stagepb.Backlog) {
 	for _, m := range messages[:min(len(messages), maxBacklogs)] {
-		backlog := Backlog{Call: milliseconds(m.GetCallMs()), At: now.Add(-milliseconds(m.GetAgeMs()))}
+		backlog := Backlog{CallTime: milliseconds(m.GetCallMs()), MeasuredAt: now.Add(-milliseconds(m.GetAgeMs()))}
 		for i, wait := range m.GetWaitsMs()[:min(len(m.GetWaitsMs()), len(backlog.Waits))] {
 			backlog.Waits[i] = milliseconds(wait)
 		}
@@ -113,7 +113,7 @@
 			for i, wait := range backlog.Waits {
 				sum.Waits[i] += wait
 			}
-			sum.Call += backlog.Call
+			sum.CallTime += backlog.CallTime
 			known++
 		}
 	}
@@ -123,7 +123,7 @@
 	for i := range sum.Waits {
 		sum.Waits[i] /= known
 	}
-	return Backlog{Waits: sum.Waits, Call: sum.Call / known, At: time.Now()}, true
+	return Backlog{Waits: sum.Waits, CallTime: sum.CallTime / known, MeasuredAt: time.Now()}, true
 }
 
 // shardsOf returns the names of a service's shards. The mutex must be held.
@@ -137,7 +137,7 @@
 // updateBacklog stores and returns the current backlog of a pool that this host owns.
 func (g *Group) updateBacklog(shard string, pool *Pool) Backlog {
 	waits, call := pool.estimates()
-	backlog := Backlog{Waits: waits, Call: call, At: time.Now()}
+	backlog := Backlog{Waits: waits, CallTime: call, MeasuredAt: time.Now()}
 	g.backlogs.store(shard, backlog)
 	return backlog
 }
--- a/internal/stagepool/export_test.go
+++ b/internal/stagepool/export_test.go
@@ -21,7 +21,7 @@
 	for i := range waits {
 		waits[i] = wait
 	}
-	b.cache.store(shard, Backlog{Waits: waits, At: at})
+	b.cache.store(shard, Backlog{Waits: waits, MeasuredAt: at})
 }
 
 // SendTo merges the backlogs into the cache of another host.
--- a/internal/suspect/book.go
+++ b/internal/suspect/book.go
@@ -27,12 +27,12 @@
 	// when it ended are never seen again.
 	endTTL       = time.Hour
 	singleEndTTL = 10 * time.Minute
-	// EndsMost is the most ends in a book, which take 0.5 MB. 160 engines that crash with
+	// MaxEnds is the most ends in a book, which take 0.5 MB. 160 engines that crash with
 	// ten requests each cause 1,600 ends.
-	EndsMost = 4096
-	// endsAfterEviction is how many ends an eviction leaves. It is below EndsMost so that
+	MaxEnds = 4096
+	// endsAfterEviction is how many ends an eviction leaves. It is below MaxEnds so that
 	// not every further end scans all of them.
-	endsAfterEviction = EndsMost * 7 / 8
+	endsAfterEviction = MaxEnds * 7 / 8
 )
 
 // State is how a request may be handled.
@@ -44,8 +44,8 @@
 	Free State = iota
 	// Suspected requests are sent to one server at a time.
 	Suspected
-	// Kept requests are quarantined: they are refused.
-	Kept
+	// Quarantined requests are refused.
+	Quarantined
 )
 
 // String returns the state as it appears in logs.
@@ -53,7 +53,7 @@
 	switch s {
 	case Suspected:
 		return "suspected"
-	case Kept:
+	case Quarantined:
 		return "kept"
 	default:
 		return "free"
@@ -63,10 +63,10 @@
 // Verdict is the assessment of a request.
 type Verdict struct {
 	State State
-	// Ends is how many servers ended under the request, and Counted how many of these ends
+	// Ends is how many servers ended under the request, and Attributed how many of these ends
 	// are attributed to it.
-	Ends    int
-	Counted int
+	Ends       int
+	Attributed int
 	// Until is when a quarantined request may be tried again.
 	Until time.Time
 }
@@ -80,7 +80,7 @@
 	// servers holds the requests that were on each server when it ended. It has no empty
 	// entries.
 	servers map[Server]map[Digest]bool
-	// count is the number of ends, at most EndsMost.
+	// count is the number of ends, at most MaxEnds.
 	count int
 	// sum is the exclusive or of the checksums of all ends.
 	sum uint64
@@ -102,7 +102,7 @@
 func (b *Book) Merge(now time.Time, ends ...End) []End {
 	var changed []End
 	for _, e := range ends {
-		if now.Sub(e.At) >= endTTL {
+		if now.Sub(e.EndedAt) >= endTTL {
 			continue
 		}
 		old := b.requests[e.Request][e.Server]
@@ -117,7 +117,7 @@
 		}
 		b.sum ^= old.sum()
 	}
-	if b.count > EndsMost {
+	if b.count > MaxEnds {
 		b.evict()
 	}
 	return slices.DeleteFunc(changed, func(e End) bool { return b.requests[e.Request][e.Server] == nil })
@@ -165,15 +165,15 @@
 	return cleared
 }
 
-// Forget removes expired ends.
-func (b *Book) Forget(now time.Time) {
+// RemoveExpired removes expired ends.
+func (b *Book) RemoveExpired(now time.Time) {
 	for _, ends := range b.requests {
 		ttl := endTTL
 		if len(ends) == 1 {
 			ttl = singleEndTTL
 		}
 		for _, e := range ends {
-			if now.Sub(e.At) >= ttl {
+			if now.Sub(e.EndedAt) >= ttl {
 				b.remove(e)
 			}
 		}
@@ -194,7 +194,7 @@
 		}
 	}
 	slices.SortFunc(all, func(x, y candidate) int {
-		return cmp.Or(cmp.Compare(x.requestEnds, y.requestEnds), x.end.At.Compare(y.end.At))
+		return cmp.Or(cmp.Compare(x.requestEnds, y.requestEnds), x.end.EndedAt.Compare(y.end.EndedAt))
 	})
 	for _, c := range all[:b.count-endsAfterEviction] {
 		b.remove(c.end)
@@ -257,8 +257,8 @@
 	return true
 }
 
-// Of returns the verdict on a request.
-func (b *Book) Of(now time.Time, digest Digest) Verdict {
+// Assess returns the verdict on a request.
+func (b *Book) Assess(now time.Time, digest Digest) Verdict {
 	ends := b.requests[digest]
 	v := Verdict{Ends: len(ends)}
 	if v.Ends < suspectThreshold {
@@ -270,19 +270,19 @@
 		if e.Cleared || b.attributedToOther(e, ownEvidence) {
 			continue
 		}
-		v.Counted++
-		if e.At.After(lastEnd) {
-			lastEnd = e.At
+		v.Attributed++
+		if e.EndedAt.After(lastEnd) {
+			lastEnd = e.EndedAt
 		}
 	}
-	if v.Counted < suspectThreshold {
+	if v.Attributed < suspectThreshold {
 		return v
 	}
 	v.State = Suspected
-	if excess := v.Counted - suspectThreshold - maxTries; excess >= 0 {
+	if excess := v.Attributed - suspectThreshold - maxTries; excess >= 0 {
 		v.Until = lastEnd.Add(min(initialQuarantine<<min(excess, 8), maxQuarantine))
 		if now.Before(v.Until) {
-			v.State = Kept
+			v.State = Quarantined
 		}
 	}
 	return v
@@ -311,12 +311,12 @@
 
 // Entry is the state of a request in the diagnostic dump.
 type Entry struct {
-	Digest  Digest    `json:"digest"`
-	State   string    `json:"state"`
-	Ends    int       `json:"ends"`
-	Counted int       `json:"counted"`
-	Last    time.Time `json:"last"`
-	Until   time.Time `json:"until,omitzero"`
+	Digest     Digest    `json:"digest"`
+	State      string    `json:"state"`
+	Ends       int       `json:"ends"`
+	Attributed int       `json:"counted"`
+	Last       time.Time `json:"last"`
+	Until      time.Time `json:"until,omitzero"`
 }
 
 // Entries returns up to most requests under which more than one server ended, those with
@@ -327,11 +327,11 @@
 		if len(ends) < 2 {
 			continue
 		}
-		v := b.Of(now, digest)
-		entry := Entry{Digest: digest, State: v.State.String(), Ends: v.Ends, Counted: v.Counted, Until: v.Until}
+		v := b.Assess(now, digest)
+		entry := Entry{Digest: digest, State: v.State.String(), Ends: v.Ends, Attributed: v.Attributed, Until: v.Until}
 		for _, e := range ends {
-			if e.At.After(entry.Last) {
-				entry.Last = e.At
+			if e.EndedAt.After(entry.Last) {
+				entry.Last = e.EndedAt
 			}
 		}
 		entries = append(entries, entry)
--- a/internal/suspect/book_test.go
+++ b/internal/suspect/book_test.go
@@ -17,7 +17,7 @@
 
 // endOf returns the end of a server under a request, at the given time after start.
 func endOf(request suspect.Digest, server int, after time.Duration) suspect.End {
-	return suspect.End{Request: request, Server: suspect.Server(server), At: start.Add(after)}
+	return suspect.End{Request: request, Server: suspect.Server(server), EndedAt: start.Add(after)}
 }
 
 // endsUnder returns the ends of several servers under a request, one second apart.
@@ -32,29 +32,29 @@
 func TestRequestBecomesSuspectedThenQuarantined(t *testing.T) {
 	b := suspect.NewBook()
 	now := start.Add(10 * time.Second)
-	for i, want := range []suspect.State{suspect.Free, suspect.Free, suspect.Suspected, suspect.Suspected, suspect.Kept} {
+	for i, want := range []suspect.State{suspect.Free, suspect.Free, suspect.Suspected, suspect.Suspected, suspect.Quarantined} {
 		b.Merge(now, endOf(1, i, time.Duration(i)*time.Second))
 		b.Merge(now, endOf(1, i, time.Duration(i)*time.Second))
-		assert.Equal(t, b.Of(now, 1).State, want, "%d servers ended", i+1)
+		assert.Equal(t, b.Assess(now, 1).State, want, "%d servers ended", i+1)
 	}
-	assert.Equal(t, b.Of(now, 2).State, suspect.Free)
+	assert.Equal(t, b.Assess(now, 2).State, suspect.Free)
 }
 
 // A quarantined request may be tried once after each quarantine, and its ends expire.
 func TestQuarantineAndEndsExpire(t *testing.T) {
 	b := suspect.NewBook()
 	b.Merge(start.Add(5*time.Second), endsUnder(1, 5)...)
-	v := b.Of(start.Add(5*time.Second), 1)
-	assert.Equal(t, v.State, suspect.Kept)
+	v := b.Assess(start.Add(5*time.Second), 1)
+	assert.Equal(t, v.State, suspect.Quarantined)
 	assert.Equal(t, v.Until, start.Add(4*time.Second+10*time.Minute))
-	assert.Equal(t, b.Of(v.Until, 1).State, suspect.Suspected)
+	assert.Equal(t, b.Assess(v.Until, 1).State, suspect.Suspected)
 
-	b.Merge(v.Until, suspect.End{Request: 1, Server: 99, At: v.Until})
-	second := b.Of(v.Until, 1)
-	assert.Equal(t, second.State, suspect.Kept)
+	b.Merge(v.Until, suspect.End{Request: 1, Server: 99, EndedAt: v.Until})
+	second := b.Assess(v.Until, 1)
+	assert.Equal(t, second.State, suspect.Quarantined)
 	assert.Equal(t, second.Until, v.Until.Add(20*time.Minute))
 
-	b.Forget(v.Until.Add(time.Hour))
+	b.RemoveExpired(v.Until.Add(time.Hour))
 	assert.Equal(t, b.Len(), 0)
 	assert.Equal(t, b.Sum(), uint64(0))
 }
@@ -62,7 +62,7 @@
 func TestSingleEndOfRequestExpiresSooner(t *testing.T) {
 	b := suspect.NewBook()
 	b.Merge(start, endOf(1, 1, 0), endOf(2, 2, 0), endOf(2, 3, 0))
-	b.Forget(start.Add(10 * time.Minute))
+	b.RemoveExpired(start.Add(10 * time.Minute))
 	assert.Equal(t, b.Len(), 2)
 }
 
@@ -73,16 +73,16 @@
 	b.Merge(now, ends...)
 	cleared := b.Clear(1)
 	assert.Equal(t, len(cleared), 5)
-	assert.Equal(t, b.Of(now, 1).State, suspect.Free)
+	assert.Equal(t, b.Assess(now, 1).State, suspect.Free)
 	assert.Equal(t, len(b.Clear(1)), 0)
 	// Hosts that do not know of the answer yet report the ends again.
 	b.Merge(now, ends...)
-	assert.Equal(t, b.Of(now, 1).State, suspect.Free)
+	assert.Equal(t, b.Assess(now, 1).State, suspect.Free)
 	// Later ends count from zero again.
 	b.Merge(now, endOf(1, 10, 0), endOf(1, 11, 0))
-	assert.Equal(t, b.Of(now, 1).State, suspect.Free)
+	assert.Equal(t, b.Assess(now, 1).State, suspect.Free)
 	b.Merge(now, endOf(1, 12, 0))
-	assert.Equal(t, b.Of(now, 1).State, suspect.Suspected)
+	assert.Equal(t, b.Assess(now, 1).State, suspect.Suspected)
 }
 
 // A request that was never answered, and was on ten servers that another request ended, must
@@ -92,14 +92,14 @@
 	now := start.Add(20 * time.Second)
 	b.Merge(now, endsUnder(1, 12)...)
 	b.Merge(now, endsUnder(2, 10)...)
-	assert.Equal(t, b.Of(now, 1).State, suspect.Kept)
-	v := b.Of(now, 2)
+	assert.Equal(t, b.Assess(now, 1).State, suspect.Quarantined)
+	v := b.Assess(now, 2)
 	assert.Equal(t, v.State, suspect.Free)
 	assert.Equal(t, v.Ends, 10)
-	assert.Equal(t, v.Counted, 0)
+	assert.Equal(t, v.Attributed, 0)
 	// Once a server has answered the other request, that request is not the cause.
 	b.Clear(1)
-	assert.Equal(t, b.Of(now, 2).State, suspect.Kept)
+	assert.Equal(t, b.Assess(now, 2).State, suspect.Quarantined)
 }
 
 // Two harmful requests end five servers each, one of them with no other request on it. A
@@ -114,12 +114,12 @@
 			b.Merge(now, endOf(3, server, time.Duration(server)*time.Second))
 		}
 	}
-	assert.Equal(t, b.Of(now, 1).State, suspect.Kept)
-	assert.Equal(t, b.Of(now, 2).State, suspect.Kept)
-	v := b.Of(now, 3)
+	assert.Equal(t, b.Assess(now, 1).State, suspect.Quarantined)
+	assert.Equal(t, b.Assess(now, 2).State, suspect.Quarantined)
+	v := b.Assess(now, 3)
 	assert.Equal(t, v.State, suspect.Free)
 	assert.Equal(t, v.Ends, 8)
-	assert.Equal(t, v.Counted, 0)
+	assert.Equal(t, v.Attributed, 0)
 }
 
 // Of two requests on the same servers, the one whose answers had begun was already running
@@ -132,8 +132,8 @@
 		e.Answered = true
 		b.Merge(now, e)
 	}
-	assert.Equal(t, b.Of(now, 1).State, suspect.Suspected)
-	assert.Equal(t, b.Of(now, 2).State, suspect.Free)
+	assert.Equal(t, b.Assess(now, 1).State, suspect.Suspected)
+	assert.Equal(t, b.Assess(now, 2).State, suspect.Free)
 }
 
 // Hosts receive reports of ends in any order and several times.
@@ -157,7 +157,7 @@
 		assert.Equal(t, first.Sum(), second.Sum())
 		assert.Equal(t, first.Len(), second.Len())
 		for d := range suspect.Digest(5) {
-			assert.DeepEqual(t, first.Of(now, d), second.Of(now, d))
+			assert.DeepEqual(t, first.Assess(now, d), second.Assess(now, d))
 		}
 	}
 }
@@ -166,12 +166,12 @@
 	b := suspect.NewBook()
 	now := start.Add(time.Second)
 	b.Merge(now, endsUnder(1, 5)...)
-	for i := range 2 * suspect.EndsMost {
+	for i := range 2 * suspect.MaxEnds {
 		b.Merge(now, endOf(suspect.Digest(10+i), 100+i%7, 0))
 	}
-	assert.Assert(t, b.Len() <= suspect.EndsMost && b.Len() > suspect.EndsMost/2, "%d ends", b.Len())
+	assert.Assert(t, b.Len() <= suspect.MaxEnds && b.Len() > suspect.MaxEnds/2, "%d ends", b.Len())
 	assert.Equal(t, len(b.Ends()), b.Len())
-	assert.Equal(t, b.Of(now, 1).State, suspect.Kept, "the request with the most ends was evicted")
+	assert.Equal(t, b.Assess(now, 1).State, suspect.Quarantined, "the request with the most ends was evicted")
 }
 
 func TestEntriesListsRequestsWithSeveralEnds(t *testing.T) {
@@ -216,12 +216,12 @@
 			t.Fatalf("%d and %d ends", first.Len(), second.Len())
 		}
 		for d := range suspect.Digest(8) {
-			v := first.Of(now, d)
-			if v.Counted > v.Ends || v.State == suspect.Kept && !now.Before(v.Until) {
+			v := first.Assess(now, d)
+			if v.Attributed > v.Ends || v.State == suspect.Quarantined && !now.Before(v.Until) {
 				t.Fatalf("%+v", v)
 			}
 		}
-		first.Forget(now.Add(7 * time.Hour))
+		first.RemoveExpired(now.Add(7 * time.Hour))
 		if first.Len() != 0 || first.Sum() != 0 {
 			t.Fatalf("%d ends are never forgotten", first.Len())
 		}
@@ -254,7 +254,7 @@
 	book.Merge(start, crashEnds()...)
 	book.Merge(start, endsUnder(5, 6)...)
 	for b.Loop() {
-		book.Of(start, 5)
+		book.Assess(start, 5)
 	}
 }
 
--- a/internal/suspect/end.go
+++ b/internal/suspect/end.go
@@ -27,8 +27,8 @@
 	// Cleared says that a server has since answered the request completely, so that the end
 	// does not count against the request. It is never reset.
 	Cleared bool
-	// At is when the server ended: the earliest time that a host reported.
-	At time.Time
+	// EndedAt is when the server ended: the earliest time that a host reported.
+	EndedAt time.Time
 }
 
 // merge merges another host's report of the same end, and reports whether anything but the
@@ -37,8 +37,8 @@
 	old := *e
 	e.Answered = e.Answered && other.Answered
 	e.Cleared = e.Cleared || other.Cleared
-	if other.At.Before(e.At) {
-		e.At = other.At
+	if other.EndedAt.Before(e.EndedAt) {
+		e.EndedAt = other.EndedAt
 	}
 	return e.Answered != old.Answered || e.Cleared != old.Cleared
 }
--- a/internal/suspect/tries.go
+++ b/internal/suspect/tries.go
@@ -23,14 +23,14 @@
 }
 
 // Begin begins a try and reports true, unless a try of the request is in progress or
-// EndsMost tries are.
+// MaxEnds tries are.
 func (t *Tries) Begin(now time.Time, digest Digest) bool {
 	for d, expiresAt := range t.expiresAt {
 		if !now.Before(expiresAt) {
 			delete(t.expiresAt, d)
 		}
 	}
-	if _, ok := t.expiresAt[digest]; ok || len(t.expiresAt) >= EndsMost {
+	if _, ok := t.expiresAt[digest]; ok || len(t.expiresAt) >= MaxEnds {
 		return false
 	}
 	t.expiresAt[digest] = now.Add(tryTimeout)
--- a/internal/table/run.go
+++ b/internal/table/run.go
@@ -203,8 +203,9 @@
 	next              int
 }
 
-// At returns a cursor for a caller that already has the given number of chunks of an attempt.
-func At(attempt, chunks int) Cursor {
+// CursorAt returns a cursor for a caller that already has the given number of chunks of
+// an attempt.
+func CursorAt(attempt, chunks int) Cursor {
 	return Cursor{attempt: attempt, next: chunks}
 }
 
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -207,9 +207,9 @@
 	return nil, verdict.New(verdict.NotRun, verdict.ReasonUnknownRequest, "table: id %s has not started", id)
 }
 
-// Ended releases the context of a run and starts the retention of its answer. It must be
+// MarkEnded releases the context of a run and starts the retention of its answer. It must be
 // called once for each run that has ended.
-func (t *Table) Ended(run *Run) {
+func (t *Table) MarkEnded(run *Run) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	run.cancel(nil)
--- a/internal/table/table_test.go
+++ b/internal/table/table_test.go
@@ -99,7 +99,7 @@
 		run.Accept(request.Accepted{ID: id, Attempt: 1})
 		assert.Assert(t, run.Chunk("whole"))
 		run.End(time.Now(), request.Event{Type: request.EventDone, Done: &request.Done{ID: id}})
-		tab.Ended(run)
+		tab.MarkEnded(run)
 
 		c := table.Cursor{}
 		events, ended, err := run.Next(t.Context(), &c)
@@ -131,7 +131,7 @@
 		run.Accept(request.Accepted{Attempt: 1})
 		run.Chunk("a")
 		run.Chunk("b")
-		fromStart, fromChunk := table.Cursor{}, table.At(1, 1)
+		fromStart, fromChunk := table.Cursor{}, table.CursorAt(1, 1)
 		events, _, err := run.Next(t.Context(), &fromStart)
 		assert.NilError(t, err)
 		assert.Equal(t, len(events), 3)
--- a/internal/trial/group.go
+++ b/internal/trial/group.go
@@ -25,11 +25,11 @@
 	Owners *owner.Finder
 	// Spread sends ends to the other hosts.
 	Spread func(ends []suspect.End)
-	// Ask asks a host to grant a try. Tell notifies it that the try is over.
-	Ask   func(ctx context.Context, peer netip.AddrPort, digest suspect.Digest) (bool, error)
-	Tell  func(peer netip.AddrPort, digest suspect.Digest)
-	Log   logrus.FieldLogger
-	Scope tally.Scope
+	// RequestTry asks a host to grant a try. NotifyTryOver notifies it that the try is over.
+	RequestTry    func(ctx context.Context, peer netip.AddrPort, digest suspect.Digest) (bool, error)
+	NotifyTryOver func(peer netip.AddrPort, digest suspect.Digest)
+	Log           logrus.FieldLogger
+	Scope         tally.Scope
 }
 
 // Group is one host's record of the ends of servers under requests and of the tries that
@@ -80,14 +80,14 @@
 	return changed
 }
 
-// Ended adds ends that this host has observed, and sends them to the other hosts.
-func (g *Group) Ended(ends []suspect.End) {
+// RecordEnds adds ends that this host has observed, and sends them to the other hosts.
+func (g *Group) RecordEnds(ends []suspect.End) {
 	g.options.Spread(g.Merge(ends))
 }
 
-// Answered records that a server has answered a request completely, and sends the cleared
+// RecordAnswer records that a server has answered a request completely, and sends the cleared
 // ends to the other hosts.
-func (g *Group) Answered(digest suspect.Digest) {
+func (g *Group) RecordAnswer(digest suspect.Digest) {
 	if g.ends.Load() == 0 {
 		return
 	}
@@ -108,7 +108,7 @@
 	}
 	// A request whose ends have expired is removed from the map when it is next looked up;
 	// the map must be bounded as this may never happen.
-	if len(g.loggedStates) > suspect.EndsMost {
+	if len(g.loggedStates) > suspect.MaxEnds {
 		clear(g.loggedStates)
 	}
 	g.options.Scope.Gauge("suspect_requests").Update(float64(len(g.loggedStates)))
@@ -117,27 +117,27 @@
 // logState returns the verdict on a request, and logs its state if that has changed. The
 // mutex must be held.
 func (g *Group) logState(now time.Time, digest suspect.Digest) suspect.Verdict {
-	v := g.book.Of(now, digest)
+	v := g.book.Assess(now, digest)
 	if v.State == g.loggedStates[digest] {
 		return v
 	}
 	log := g.options.Log.WithFields(logrus.Fields{
-		"digest": digest, "state": v.State, "before": g.loggedStates[digest], "ends": v.Ends, "counted": v.Counted,
+		"digest": digest, "state": v.State, "before": g.loggedStates[digest], "ends": v.Ends, "counted": v.Attributed,
 	})
 	if v.State == suspect.Free {
 		delete(g.loggedStates, digest)
 	} else {
 		g.loggedStates[digest] = v.State
 	}
-	if v.State == suspect.Kept {
+	if v.State == suspect.Quarantined {
 		log = log.WithField("for_ms", v.Until.Sub(now).Milliseconds())
 	}
 	log.Warn("state of a suspected request changed")
 	return v
 }
 
-// Of returns the verdict on a request.
-func (g *Group) Of(digest suspect.Digest) suspect.Verdict {
+// Assess returns the verdict on a request.
+func (g *Group) Assess(digest suspect.Digest) suspect.Verdict {
 	if g.ends.Load() == 0 {
 		return suspect.Verdict{}
 	}
@@ -147,15 +147,15 @@
 	return g.logState(now, digest)
 }
 
-// Forget removes expired ends. It must be called about once a second.
-func (g *Group) Forget() {
+// RemoveExpired removes expired ends. It must be called about once a second.
+func (g *Group) RemoveExpired() {
 	if g.ends.Load() == 0 {
 		return
 	}
 	now := time.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.book.Forget(now)
+	g.book.RemoveExpired(now)
 	g.recordChanges(now, nil)
 }
 
@@ -165,7 +165,7 @@
 	now := time.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.book.Of(now, digest).State != suspect.Kept && g.tries.Begin(now, digest)
+	return g.book.Assess(now, digest).State != suspect.Quarantined && g.tries.Begin(now, digest)
 }
 
 // End ends the try of a request.
@@ -179,9 +179,9 @@
 // host. The caller must call over at the end of the try, unless it ended a server.
 func (g *Group) Try(ctx context.Context, digest suspect.Digest) (over func(), ok bool) {
 	for _, p := range g.options.Owners.PeersFor(digest.String(), maxOwnersTried) {
-		granted, err := g.options.Ask(ctx, p.Control, digest)
+		granted, err := g.options.RequestTry(ctx, p.Control, digest)
 		if err == nil {
-			return func() { g.options.Tell(p.Control, digest) }, granted
+			return func() { g.options.NotifyTryOver(p.Control, digest) }, granted
 		}
 		if ctx.Err() != nil {
 			return nil, false
--- a/internal/trial/group_test.go
+++ b/internal/trial/group_test.go
@@ -53,15 +53,15 @@
 					}
 				}
 			},
-			Ask: func(_ context.Context, peer netip.AddrPort, digest suspect.Digest) (bool, error) {
+			RequestTry: func(_ context.Context, peer netip.AddrPort, digest suspect.Digest) (bool, error) {
 				if h.down[peer] {
 					return false, errDown
 				}
 				return h.groups[peer].Begin(digest), nil
 			},
-			Tell:  func(peer netip.AddrPort, digest suspect.Digest) { h.groups[peer].End(digest) },
-			Log:   log,
-			Scope: h.scope,
+			NotifyTryOver: func(peer netip.AddrPort, digest suspect.Digest) { h.groups[peer].End(digest) },
+			Log:           log,
+			Scope:         h.scope,
 		})
 		h.groups[p.Address] = g
 		list = append(list, g)
@@ -70,18 +70,18 @@
 }
 
 func endOf(digest suspect.Digest, server int) []suspect.End {
-	return []suspect.End{{Request: digest, Server: suspect.ServerOf(fmt.Sprint("i-", server)), At: time.Now()}}
+	return []suspect.End{{Request: digest, Server: suspect.ServerOf(fmt.Sprint("i-", server)), EndedAt: time.Now()}}
 }
 
 func TestTriesOfRequestRunOneAtATimeAcrossHosts(t *testing.T) {
 	_, list := newHosts(4)
 	for i := range 3 {
-		list[i].Ended(endOf(1, i))
+		list[i].RecordEnds(endOf(1, i))
 	}
 	var endTry func()
 	granted := 0
 	for _, g := range list {
-		assert.Equal(t, g.Of(1).State, suspect.Suspected)
+		assert.Equal(t, g.Assess(1).State, suspect.Suspected)
 		if end, ok := g.Try(t.Context(), 1); ok {
 			granted++
 			endTry = end
@@ -92,12 +92,12 @@
 	_, ok := list[3].Try(t.Context(), 1)
 	assert.Assert(t, ok)
 	// The end of a server ends the try.
-	list[0].Ended(endOf(1, 3))
+	list[0].RecordEnds(endOf(1, 3))
 	_, ok = list[2].Try(t.Context(), 1)
 	assert.Assert(t, ok)
-	list[0].Ended(endOf(1, 4))
+	list[0].RecordEnds(endOf(1, 4))
 	for _, g := range list {
-		assert.Equal(t, g.Of(1).State, suspect.Kept)
+		assert.Equal(t, g.Assess(1).State, suspect.Quarantined)
 		_, ok = g.Try(t.Context(), 1)
 		assert.Assert(t, !ok)
 	}
@@ -106,7 +106,7 @@
 func TestTryIsGrantedLocallyWhenOwnersAreDown(t *testing.T) {
 	h, list := newHosts(4)
 	for i := range 3 {
-		list[i].Ended(endOf(1, i))
+		list[i].RecordEnds(endOf(1, i))
 	}
 	for address := range h.groups {
 		h.down[address] = true
@@ -121,7 +121,7 @@
 func TestStateOfRequestIsLoggedAndReported(t *testing.T) {
 	h, list := newHosts(2)
 	for i := range 5 {
-		list[0].Ended(endOf(1, i))
+		list[0].RecordEnds(endOf(1, i))
 	}
 	for _, state := range []string{"state=suspected", "state=kept", "digest=0000000000000001", "counted=5", "for_ms=", "before=suspected"} {
 		assert.Check(t, strings.Contains(h.log.String(), state), "no %s in %s", state, h.log.String())
@@ -133,8 +133,8 @@
 	assert.Equal(t, len(state), 1)
 	assert.Equal(t, state[0].State, "kept")
 
-	list[1].Answered(1)
-	assert.Equal(t, list[0].Of(1).State, suspect.Free)
+	list[1].RecordAnswer(1)
+	assert.Equal(t, list[0].Assess(1).State, suspect.Free)
 	assert.Assert(t, strings.Contains(h.log.String(), "state=free"))
 	assert.Equal(t, h.scope.Snapshot().Gauges()["suspect_requests+"].Value(), 0.0)
 	assert.Equal(t, list[0].Sum(), list[1].Sum())
