--- a/internal/fleet/leaving.go
+++ b/internal/fleet/leaving.go
@@ -54,14 +54,14 @@
 // MarkLeaving records that an instance of a backend server is leaving and reports whether that
 // was new.
 func (v *View) MarkLeaving(now time.Time, s LeavingServer) bool {
-	return v.HeardLeaving(now, Leaving{LeavingServer: s})
+	return v.MergeLeaving(now, Leaving{LeavingServer: s})
 }
 
-// HeardLeaving is like MarkLeaving for a report from a peer.
-func (v *View) HeardLeaving(now time.Time, s Leaving) bool {
+// MergeLeaving is like MarkLeaving for a report from a peer.
+func (v *View) MergeLeaving(now time.Time, s Leaving) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.leaving[s.LeavingServer] != nil || len(v.leaving) >= maxLeaving || s.Age >= v.options.LeavingFor {
+	if v.leaving[s.LeavingServer] != nil || len(v.leaving) >= maxLeaving || s.Age >= v.options.LeavingRetention {
 		return false
 	}
 	v.leaving[s.LeavingServer] = &leavingMark{LeavingServer: s.LeavingServer, markedAt: now.Add(-s.Age)}
--- a/internal/fleet/member.go
+++ b/internal/fleet/member.go
@@ -58,15 +58,15 @@
 	State State `json:"state"`
 	// Load is the load that the member reports, in thousandths of what it admits.
 	Load int `json:"load"`
-	// Capacity is the capacity of the host relative to other hosts, from 1 to CapacityMost; 0
+	// Capacity is the capacity of the host relative to other hosts, from 1 to MaxCapacity; 0
 	// means unknown.
 	Capacity int `json:"capacity,omitempty"`
 	// Reads reports whether the publisher answers the member.
 	Reads bool `json:"reads,omitempty"`
 }
 
-// CapacityMost is the maximum capacity of a member.
-const CapacityMost = 64
+// MaxCapacity is the maximum capacity of a member.
+const MaxCapacity = 64
 
 // Check reports the first invalid field of m, as received from a peer.
 func (m Member) Check() error {
@@ -76,7 +76,7 @@
 	if err := pipeline.CheckName("zone", m.Zone); err != nil {
 		return err
 	}
-	if m.Capacity < 0 || m.Capacity > CapacityMost {
+	if m.Capacity < 0 || m.Capacity > MaxCapacity {
 		return fmt.Errorf("fleet: member %s: invalid capacity %d", m.Address, m.Capacity)
 	}
 	if m.State < StateLive || m.State > StateGone {
--- a/internal/fleet/sums.go
+++ b/internal/fleet/sums.go
@@ -95,9 +95,9 @@
 	return members
 }
 
-// Beyond returns the records in ownMembers that are newer than those in peerMembers, which
+// NewerMembers returns the records in ownMembers that are newer than those in peerMembers, which
 // are the records of another view in the same buckets.
-func Beyond(ownMembers, peerMembers []Member) []Member {
+func NewerMembers(ownMembers, peerMembers []Member) []Member {
 	byAddress := make(map[netip.AddrPort]Member, len(peerMembers))
 	for _, m := range peerMembers {
 		byAddress[m.Address] = m
--- a/internal/fleet/sums_test.go
+++ b/internal/fleet/sums_test.go
@@ -40,7 +40,7 @@
 		{"a load that it heard of", func(v *fleet.View) {
 			m := member(2, 1, 5, live)
 			m.Load = 300
-			v.Heard(start, m)
+			v.MergeFromSender(start, m)
 		}, false},
 		{"one that is gone and was not known", func(v *fleet.View) { v.Merge(start, member(9, 1, 5, gone)) }, false},
 		{"a suspicion that it refutes", func(v *fleet.View) { v.Merge(start, member(1, 1, 10, suspect)) }, true},
@@ -71,7 +71,7 @@
 		}
 		for range 2 {
 			reported := other.Differing(one.Sums())
-			back := fleet.Beyond(one.Differing(other.Sums()), reported)
+			back := fleet.NewerMembers(one.Differing(other.Sums()), reported)
 			one.Merge(start, reported...)
 			other.Merge(start, back...)
 		}
@@ -91,6 +91,6 @@
 	v := view(1, member(2, 1, 5, fleet.StateLive))
 	v.Suspect(start, member(2, 0, 0, 0).Address)
 	before := v.Sums()
-	v.Tick(start.Add(fleet.DefaultSuspectFor+time.Second), func(netip.AddrPort) bool { return true })
+	v.Tick(start.Add(fleet.DefaultSuspectTimeout+time.Second), func(netip.AddrPort) bool { return true })
 	assert.Assert(t, v.Sums() != before)
 }
--- a/internal/fleet/view.go
+++ b/internal/fleet/view.go
@@ -15,19 +15,19 @@
 
 // Options sets the durations of a View. Zero fields take the defaults.
 type Options struct {
-	// SuspectFor is how long a suspect may refute the suspicion before it is considered gone.
-	SuspectFor time.Duration
+	// SuspectTimeout is how long a suspect may refute the suspicion before it is considered gone.
+	SuspectTimeout time.Duration
 	// ForgetAfter is how long a gone member is remembered.
 	ForgetAfter time.Duration
-	// LeavingFor is how long a leaving backend server is remembered.
-	LeavingFor time.Duration
+	// LeavingRetention is how long a leaving backend server is remembered.
+	LeavingRetention time.Duration
 }
 
 // Default values of Options.
 const (
-	DefaultSuspectFor  = 4 * time.Second
-	DefaultForgetAfter = 10 * time.Minute
-	DefaultLeavingFor  = time.Hour
+	DefaultSuspectTimeout   = 4 * time.Second
+	DefaultForgetAfter      = 10 * time.Minute
+	DefaultLeavingRetention = time.Hour
 )
 
 const (
@@ -72,9 +72,9 @@
 
 // New returns a view that holds only self.
 func New(self Member, now time.Time, options Options) *View {
-	options.SuspectFor = cmp.Or(options.SuspectFor, DefaultSuspectFor)
+	options.SuspectTimeout = cmp.Or(options.SuspectTimeout, DefaultSuspectTimeout)
 	options.ForgetAfter = cmp.Or(options.ForgetAfter, DefaultForgetAfter)
-	options.LeavingFor = cmp.Or(options.LeavingFor, DefaultLeavingFor)
+	options.LeavingRetention = cmp.Or(options.LeavingRetention, DefaultLeavingRetention)
 	return &View{
 		options:          options,
 		self:             self,
@@ -171,8 +171,8 @@
 	return changed
 }
 
-// Heard merges the record that a member sent of itself, and reports whether it was new.
-func (v *View) Heard(now time.Time, m Member) bool {
+// MergeFromSender merges the record that a member sent of itself, and reports whether it was new.
+func (v *View) MergeFromSender(now time.Time, m Member) bool {
 	news := v.Merge(now, m)
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -201,10 +201,11 @@
 	v.version++
 }
 
-// Listed merges the entry hosts of the host list. A host that is not in the view is added with a
-// beat below any of its own. The leaving flag of an entry host in the list is not merged into
-// known members: the list lags, and the flag could apply to the next run at the same address.
-func (v *View) Listed(now time.Time, hosts []Member) {
+// MergeHostList merges the entry hosts of the host list. A host that is not in the view is
+// added with a beat below any of its own. The leaving flag of an entry host in the list is not
+// merged into known members: the list lags, and the flag could apply to the next run at the same
+// address.
+func (v *View) MergeHostList(now time.Time, hosts []Member) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for _, h := range hosts {
@@ -229,7 +230,7 @@
 	for address, k := range v.members {
 		age := now.Sub(k.stateSince)
 		switch {
-		case k.State == StateSuspect && age >= v.options.SuspectFor:
+		case k.State == StateSuspect && age >= v.options.SuspectTimeout:
 			k.State = StateGone
 			k.stateSince, k.spreads = now, 0
 			v.lastChangeAt, v.cachedSums = now, nil
@@ -245,7 +246,7 @@
 		}
 	}
 	for s, m := range v.leaving {
-		if now.Sub(m.markedAt) >= v.options.LeavingFor {
+		if now.Sub(m.markedAt) >= v.options.LeavingRetention {
 			v.unmark(s)
 		}
 	}
@@ -272,9 +273,9 @@
 	return v.version
 }
 
-// LastToLeave returns the members that are leaving and not known to have shut down, the most
+// LeavingMembers returns the members that are leaving and not known to have shut down, the most
 // recent first.
-func (v *View) LastToLeave() []Member {
+func (v *View) LeavingMembers() []Member {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	var leaving []*memberRecord
@@ -296,8 +297,8 @@
 	return members
 }
 
-// Of returns the member with the address, which may be the node itself.
-func (v *View) Of(address netip.AddrPort) (Member, bool) {
+// Lookup returns the member with the address, which may be the node itself.
+func (v *View) Lookup(address netip.AddrPort) (Member, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if address == v.self.Address {
@@ -310,15 +311,16 @@
 	return k.Member, true
 }
 
-// Undisturbed returns the time since a member last joined, left or changed its state.
-func (v *View) Undisturbed(now time.Time) time.Duration {
+// UnchangedFor returns the time since a member last joined, left or changed its state.
+func (v *View) UnchangedFor(now time.Time) time.Duration {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return now.Sub(v.lastChangeAt)
 }
 
-// Disturb restarts the time that Undisturbed returns, for example after a pause of the process.
-func (v *View) Disturb(now time.Time) {
+// ResetUnchanged restarts the time that UnchangedFor returns, for example after a pause of the
+// process.
+func (v *View) ResetUnchanged(now time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.lastChangeAt = now
--- a/internal/fleet/view_test.go
+++ b/internal/fleet/view_test.go
@@ -47,7 +47,7 @@
 			for _, m := range c.records {
 				v.Merge(start, m)
 			}
-			got, ok := v.Of(member(1, 0, 0, live).Address)
+			got, ok := v.Lookup(member(1, 0, 0, live).Address)
 			assert.Assert(t, ok)
 			assert.Equal(t, got.State, c.want)
 		})
@@ -82,9 +82,9 @@
 	v.Suspect(start, member(1, 0, 0, 0).Address)
 	v.Suspect(start, member(2, 0, 0, 0).Address)
 	none := func(netip.AddrPort) bool { return false }
-	v.Tick(start.Add(fleet.DefaultSuspectFor-time.Millisecond), none)
+	v.Tick(start.Add(fleet.DefaultSuspectTimeout-time.Millisecond), none)
 	assert.DeepEqual(t, states(v), []fleet.State{fleet.StateSuspect, fleet.StateGone})
-	v.Tick(start.Add(fleet.DefaultSuspectFor), none)
+	v.Tick(start.Add(fleet.DefaultSuspectTimeout), none)
 	assert.DeepEqual(t, states(v), []fleet.State{fleet.StateGone, fleet.StateGone})
 	v.Tick(start.Add(2*fleet.DefaultForgetAfter), none)
 	assert.Equal(t, len(v.Members()), 0)
@@ -125,7 +125,7 @@
 		for i, v := range views {
 			v.Tick(now, func(netip.AddrPort) bool { return true })
 			for _, l := range views[1-i].News(now, random).Leaving {
-				v.HeardLeaving(now, l)
+				v.MergeLeaving(now, l)
 			}
 		}
 		if minute == 50 {
--- a/internal/gateway/components.go
+++ b/internal/gateway/components.go
@@ -55,7 +55,7 @@
 		Confirm:          n.confirmer.confirm,
 		OwnersKnown:      n.settled,
 		Boot:             o.Boot,
-		SuspectsReceived: n.gossip.Heard(),
+		SuspectsReceived: n.gossip.EndsKnown(),
 		Hosts:            n.serving,
 		Log:              n.log,
 		Scope:            o.Scope,
@@ -74,9 +74,9 @@
 		Owners: owner.NewFinder(n.settings.Callers, n.live),
 		Spread: func(ends []suspect.End) { n.gossip.SpreadEnds(ends) },
 		RequestTry: func(ctx context.Context, peer netip.AddrPort, digest suspect.Digest) (bool, error) {
-			return n.gossip.AskTry(ctx, peer, digest)
+			return n.gossip.RequestTry(ctx, peer, digest)
 		},
-		NotifyTryOver: func(peer netip.AddrPort, digest suspect.Digest) { n.gossip.TellTry(peer, digest) },
+		NotifyTryOver: func(peer netip.AddrPort, digest suspect.Digest) { n.gossip.ReleaseTry(peer, digest) },
 		Log:           n.log,
 		Scope:         n.options.Scope,
 	})
--- a/internal/gateway/confirm.go
+++ b/internal/gateway/confirm.go
@@ -136,7 +136,7 @@
 	if through == 0 {
 		return c.readPublisher(ctx)
 	}
-	values, err := n.options.Source.News(ctx, publisher.SpaceConfiguration, through)
+	values, err := n.options.Source.Poll(ctx, publisher.SpaceConfiguration, through)
 	if errors.Is(err, publisher.ErrCompacted) {
 		return c.readPublisher(ctx)
 	}
--- a/internal/gateway/hosts.go
+++ b/internal/gateway/hosts.go
@@ -89,7 +89,7 @@
 		return peers
 	}
 	peers = append(peers, n.self())
-	for _, m := range n.view.LastToLeave() {
+	for _, m := range n.view.LeavingMembers() {
 		peers = append(peers, peerOf(m))
 	}
 	return peers
--- a/internal/gateway/node.go
+++ b/internal/gateway/node.go
@@ -187,7 +187,7 @@
 		return 0
 	}
 	pools := min(s.Link/poolLinkMbps, s.Cores/poolCores)
-	return int(min(max(pools, 1), fleet.CapacityMost))
+	return int(min(max(pools, 1), fleet.MaxCapacity))
 }
 
 func childRandom(random *rand.Rand) *rand.Rand {
@@ -241,23 +241,23 @@
 
 func (n *Node) newWatcher(space publisher.Space, store watchedStore) *publisher.Watcher {
 	return publisher.NewWatcher(publisher.WatcherOptions{
-		Source:   n.options.Source,
-		Space:    space,
-		Store:    store,
-		Must:     func() bool { return n.mustWatch(space) },
-		Had:      func(ctx context.Context, yield func()) uint64 { return n.waitForPeerCopy(ctx, space, yield) },
-		Through:  func() uint64 { return store.Summary().Through },
-		Answers:  func(answers bool) { n.setPublisherAnswers(space, answers) },
-		Accepted: func(entries []published.Entry) { n.applyWatched(space, entries) },
-		Brought: func(after, through uint64, entries []published.Entry) {
+		Source:      n.options.Source,
+		Space:       space,
+		Store:       store,
+		MustWatch:   func() bool { return n.mustWatch(space) },
+		AwaitPeers:  func(ctx context.Context, yield func()) uint64 { return n.waitForPeerCopy(ctx, space, yield) },
+		Through:     func() uint64 { return store.Summary().Through },
+		OnAnswering: func(answers bool) { n.setPublisherAnswers(space, answers) },
+		Accepted:    func(entries []published.Entry) { n.applyWatched(space, entries) },
+		OnChanges: func(after, through uint64, entries []published.Entry) {
 			n.sendDirect(space, peer.Changes{After: after, Through: through, Entries: entries})
 		},
-		Lost:        func() { n.serverTable.publisherLost(time.Now()) },
-		Regained:    func() { n.serverTable.publisherRecovered(time.Now()) },
-		Log:         n.log,
-		Random:      childRandom(n.random),
-		MostBackoff: maxBackoff,
-		Pause:       watchBatchDelay,
+		OnUnavailable: func() { n.serverTable.publisherLost(time.Now()) },
+		OnAvailable:   func() { n.serverTable.publisherRecovered(time.Now()) },
+		Log:           n.log,
+		Random:        childRandom(n.random),
+		MaxBackoff:    maxBackoff,
+		Pause:         watchBatchDelay,
 	})
 }
 
@@ -274,7 +274,7 @@
 // sendDirect sends changes received by a watch to the hosts that this one is responsible for.
 func (n *Node) sendDirect(space publisher.Space, changes peer.Changes) {
 	if n.isDirect(peerSpaces[space]) {
-		n.gossip.TellDirect(peerSpaces[space], changes, peer.ElectedEverywhere(n.view, string(space), watchersPerZone))
+		n.gossip.PushChanges(peerSpaces[space], changes, peer.ElectedEverywhere(n.view, string(space), watchersPerZone))
 	}
 }
 
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -34,7 +34,7 @@
 		return
 	}
 	if from == notice.SourceAnswer {
-		n.gossip.TellLeaving(fleet.LeavingServer{Address: s.Address, Instance: s.Instance})
+		n.gossip.AnnounceLeaving(fleet.LeavingServer{Address: s.Address, Instance: s.Instance})
 	}
 	n.serverTable.markDirty(s.Instance)
 	n.refresh()
--- a/internal/gateway/ready.go
+++ b/internal/gateway/ready.go
@@ -100,7 +100,7 @@
 func (n *Node) hasRead() bool {
 	for _, w := range n.watchers {
 		select {
-		case <-w.First():
+		case <-w.Ready():
 		default:
 			return false
 		}
@@ -124,7 +124,7 @@
 		if seed == n.settings.Peer || n.isLivePeer(seed) {
 			continue
 		}
-		n.seedContacts.Go(func() { n.gossip.Meet(ctx, seed) })
+		n.seedContacts.Go(func() { n.gossip.ContactSeed(ctx, seed) })
 	}
 }
 
@@ -205,7 +205,7 @@
 
 // lastEntries returns the later half of the hosts that are leaving.
 func (n *Node) lastEntries() []netip.AddrPort {
-	leaving := n.view.LastToLeave()
+	leaving := n.view.LeavingMembers()
 	var entries []netip.AddrPort
 	for _, m := range leaving[:(len(leaving)+1)/2] {
 		entries = append(entries, m.Address)
--- a/internal/node/forward.go
+++ b/internal/node/forward.go
@@ -140,7 +140,7 @@
 	if r.Header.Get(HeaderForwarded) != "" {
 		return verdict.New(verdict.Unknown, verdict.ReasonIssuerGone, "node: this is not the issuer of %s", id)
 	}
-	if _, known := n.view.Of(id.Issuer); !known {
+	if _, known := n.view.Lookup(id.Issuer); !known {
 		// Ids come from callers: never connect to an address that neither the host list nor a
 		// peer has named.
 		return verdict.New(verdict.Unknown, verdict.ReasonIssuerGone, "node: the issuer of %s is not known", id)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -187,10 +187,10 @@
 
 func (n *Node) newWatcher(space publisher.Space, id peerpb.Space, store publisher.Store) *publisher.Watcher {
 	return publisher.NewWatcher(publisher.WatcherOptions{
-		Source: n.publisher,
-		Space:  space,
-		Store:  store,
-		Must:   func() bool { return n.mustWatch(space) },
+		Source:    n.publisher,
+		Space:     space,
+		Store:     store,
+		MustWatch: func() bool { return n.mustWatch(space) },
 		Accepted: func(entries []published.Entry) {
 			n.onAccepted(id, entries)
 			n.gossip.Spread(id, entries)
@@ -323,7 +323,7 @@
 			members = append(members, fleet.Member{Address: h.Address, Peer: h.Peer, Zone: h.Zone})
 		}
 	}
-	n.view.Listed(time.Now(), members)
+	n.view.MergeHostList(time.Now(), members)
 	n.pools.refresh()
 }
 
--- a/internal/node/operator.go
+++ b/internal/node/operator.go
@@ -61,7 +61,7 @@
 		Leaving:       n.leaving.Load(),
 		Pauses:        n.ready.pauses.Load(),
 		Running:       n.running.Load(),
-		Undisturbed:   pipeline.Duration(n.view.Undisturbed(time.Now()).Round(time.Millisecond)),
+		Undisturbed:   pipeline.Duration(n.view.UnchangedFor(time.Now()).Round(time.Millisecond)),
 		PlatformCalls: n.publisher.Calls(),
 		Configuration: n.configuration.State(dumpLimit),
 		Hosts:         n.hosts.State(dumpLimit),
--- a/internal/node/placer.go
+++ b/internal/node/placer.go
@@ -107,7 +107,7 @@
 func (p *placer) sendOrder(ctx context.Context, step place.Step, through uint64) {
 	n := p.node
 	h, ok := n.pools.host(step.Engine)
-	if !ok || !h.ChecksOrders && n.view.Undisturbed(time.Now()) < minUndisturbed {
+	if !ok || !h.ChecksOrders && n.view.UnchangedFor(time.Now()) < minUndisturbed {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
--- a/internal/node/ready.go
+++ b/internal/node/ready.go
@@ -100,7 +100,7 @@
 		defer close(platformRead)
 		for _, w := range n.watchers {
 			select {
-			case <-w.First():
+			case <-w.Ready():
 			case <-ctx.Done():
 				return
 			}
@@ -138,7 +138,7 @@
 func (r *readiness) syncWithPeers(ctx context.Context) bool {
 	n := r.node
 	for _, seed := range n.settings.Seeds {
-		if n.gossip.Meet(ctx, seed) {
+		if n.gossip.ContactSeed(ctx, seed) {
 			break
 		}
 	}
@@ -155,7 +155,7 @@
 	n.log.Warn("process was paused; synchronising with peers before admitting requests")
 	r.recovering.Store(true)
 	defer r.recovering.Store(false)
-	n.view.Disturb(time.Now())
+	n.view.ResetUnchanged(time.Now())
 	deadline := time.Now().Add(n.settings.ReadyAfter)
 	for ctx.Err() == nil && n.gossip.Synchronise(ctx, syncPeers) == 0 {
 		alone := len(n.view.Members()) == 0
--- a/internal/peer/convergence_test.go
+++ b/internal/peer/convergence_test.go
@@ -94,7 +94,7 @@
 	for ctx.Err() == nil {
 		contacted := false
 		for seed := range min(seedCount, len(c.all)) {
-			contacted = seed != i && c.all[i].gossip.Meet(ctx, seedAddress(seed)) || contacted
+			contacted = seed != i && c.all[i].gossip.ContactSeed(ctx, seedAddress(seed)) || contacted
 		}
 		if contacted {
 			return
--- a/internal/peer/convert.go
+++ b/internal/peer/convert.go
@@ -79,7 +79,7 @@
 		Beat:        m.GetBeat(),
 		State:       fleet.State(m.GetState()),
 		Load:        int(m.GetLoad()),
-		Capacity:    int(min(m.GetCapacity(), fleet.CapacityMost)),
+		Capacity:    int(min(m.GetCapacity(), fleet.MaxCapacity)),
 		Reads:       m.GetReads(),
 	}
 	return member, member.Check()
--- a/internal/peer/direct.go
+++ b/internal/peer/direct.go
@@ -73,13 +73,13 @@
 	return Changes{After: q.after, Through: q.through, Entries: entries}
 }
 
-// TellDirect pushes the small entries among changes that this host read from the publisher to its
+// PushChanges pushes the small entries among changes that this host read from the publisher to its
 // share of the fleet. watchers are the hosts that read changes. Each other host gets a change from
 // directCopies watchers, in one step and one message per batch; random gossip would send it
 // several times as many messages. Each host to which a change is new relays it to one other
 // host, for hosts whose watchers cannot read. A host that was missed detects the difference by
 // heartbeat.
-func (g *Gossip) TellDirect(space peerpb.Space, c Changes, watchers []fleet.Member) {
+func (g *Gossip) PushChanges(space peerpb.Space, c Changes, watchers []fleet.Member) {
 	q := g.changeQueues[space]
 	c.Entries = slices.DeleteFunc(slices.Clone(c.Entries), func(e published.Entry) bool { return e.Version().Large() })
 	if q == nil || len(c.Entries) == 0 || !q.add(c) {
--- a/internal/peer/elect_test.go
+++ b/internal/peer/elect_test.go
@@ -77,7 +77,7 @@
 		view := fleet.New(self, now, fleet.Options{})
 		for _, m := range all {
 			if m.Address != self.Address {
-				view.Heard(now, m)
+				view.MergeFromSender(now, m)
 			}
 		}
 		if peer.Elected(view, key, count) {
--- a/internal/peer/ends.go
+++ b/internal/peer/ends.go
@@ -113,8 +113,8 @@
 	return nil
 }
 
-// Heard returns a channel that is closed once this node knows the ends of some other node.
-func (g *Gossip) Heard() <-chan struct{} {
+// EndsKnown returns a channel that is closed once this node knows the ends of some other node.
+func (g *Gossip) EndsKnown() <-chan struct{} {
 	return g.endsKnown
 }
 
@@ -127,8 +127,8 @@
 	g.SpreadEnds(g.options.Suspects.Merge(decodeEnds(time.Now(), messages)))
 }
 
-// AskTry asks a node for permission to try a suspected request.
-func (g *Gossip) AskTry(ctx context.Context, address netip.AddrPort, digest suspect.Digest) (bool, error) {
+// RequestTry asks a node for permission to try a suspected request.
+func (g *Gossip) RequestTry(ctx context.Context, address netip.AddrPort, digest suspect.Digest) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, tryTimeout)
 	defer cancel()
 	reply, err := g.client(address).Try(ctx, &peerpb.TryRequest{Request: uint64(digest)})
@@ -138,8 +138,8 @@
 	return reply.GetGranted(), nil
 }
 
-// TellTry notifies a node that a try that it granted is over.
-func (g *Gossip) TellTry(address netip.AddrPort, digest suspect.Digest) {
+// ReleaseTry notifies a node that a try that it granted is over.
+func (g *Gossip) ReleaseTry(address netip.AddrPort, digest suspect.Digest) {
 	g.enqueue(func(ctx context.Context) {
 		ctx, cancel := context.WithTimeout(ctx, tryTimeout)
 		defer cancel()
--- a/internal/peer/gossip.go
+++ b/internal/peer/gossip.go
@@ -217,7 +217,7 @@
 // checkMember sends a heartbeat to a member, and probes it indirectly if that fails. It marks the
 // member as suspect if neither is answered.
 func (g *Gossip) checkMember(ctx context.Context, address netip.AddrPort) {
-	m, ok := g.options.View.Of(address)
+	m, ok := g.options.View.Lookup(address)
 	if !ok {
 		return
 	}
@@ -296,12 +296,12 @@
 		return err
 	}
 	now := time.Now()
-	senderIsNew := g.options.View.Heard(now, members[0])
+	senderIsNew := g.options.View.MergeFromSender(now, members[0])
 	if g.options.View.Merge(now, members[1:]...) || senderIsNew {
 		g.notifyViewChanged()
 	}
 	for _, s := range leaving {
-		if !g.options.View.HeardLeaving(now, s) {
+		if !g.options.View.MergeLeaving(now, s) {
 			continue
 		}
 		g.spreadLeaving()
@@ -332,8 +332,8 @@
 	all.Wait()
 }
 
-// Meet sends a heartbeat to a peer address that may not be in the view yet, and reports whether
-// it was answered.
-func (g *Gossip) Meet(ctx context.Context, address netip.AddrPort) bool {
+// ContactSeed sends a heartbeat to a peer address that may not be in the view yet, and
+// reports whether it was answered.
+func (g *Gossip) ContactSeed(ctx context.Context, address netip.AddrPort) bool {
 	return g.exchange(ctx, address) == nil
 }
--- a/internal/peer/leaving.go
+++ b/internal/peer/leaving.go
@@ -11,10 +11,10 @@
 	"github.com/wingvale/wingvale/internal/fleet"
 )
 
-// TellLeaving announces to peers at once that an instance of a backend server is leaving. It does
-// not announce an instance name that exceeds the limit of the protocol: peers would refuse the
-// heartbeat that contains it.
-func (g *Gossip) TellLeaving(s fleet.LeavingServer) {
+// AnnounceLeaving announces to peers at once that an instance of a backend server is leaving. It
+// does not announce an instance name that exceeds the limit of the protocol: peers would refuse
+// the heartbeat that contains it.
+func (g *Gossip) AnnounceLeaving(s fleet.LeavingServer) {
 	if err := s.Check(); err != nil {
 		g.options.Log.WithError(err).Warn("cannot announce leaving backend server")
 		return
--- a/internal/peer/leaving_test.go
+++ b/internal/peer/leaving_test.go
@@ -21,7 +21,7 @@
 	runNodes(t, 100, func(t *testing.T, _ *memnet.Network, all []*testNode) {
 		time.Sleep(5 * time.Second)
 		server := fleet.LeavingServer{Address: netip.MustParseAddrPort("10.9.0.1:8080"), Instance: "i-1@5"}
-		all[0].gossip.TellLeaving(server)
+		all[0].gossip.AnnounceLeaving(server)
 		time.Sleep(2 * time.Second)
 		informed := 0
 		for _, n := range all {
@@ -38,12 +38,12 @@
 func TestLeavingServerWithTooLongInstanceIsNotAnnounced(t *testing.T) {
 	runNodes(t, 3, func(t *testing.T, _ *memnet.Network, all []*testNode) {
 		time.Sleep(2 * time.Second)
-		all[0].gossip.TellLeaving(fleet.LeavingServer{
+		all[0].gossip.AnnounceLeaving(fleet.LeavingServer{
 			Address: netip.MustParseAddrPort("10.9.0.1:8080"), Instance: strings.Repeat("i", 150),
 		})
 		time.Sleep(10 * time.Second)
 		for _, n := range all[1:] {
-			m, ok := n.view.Of(all[0].view.Self().Address)
+			m, ok := n.view.Lookup(all[0].view.Self().Address)
 			assert.Assert(t, ok && m.State == fleet.StateLive, "%v", m)
 		}
 	})
--- a/internal/peer/level.go
+++ b/internal/peer/level.go
@@ -68,7 +68,7 @@
 	if err != nil {
 		return err
 	}
-	superseding := fleet.Beyond(g.options.View.Differing(other), reported)
+	superseding := fleet.NewerMembers(g.options.View.Differing(other), reported)
 	g.options.View.Merge(time.Now(), reported...)
 	if len(superseding) == 0 {
 		return nil
--- a/internal/peer/nodes_test.go
+++ b/internal/peer/nodes_test.go
@@ -83,7 +83,7 @@
 		for _, n := range all {
 			for _, other := range all {
 				if other != n {
-					n.gossip.Meet(ctx, other.address)
+					n.gossip.ContactSeed(ctx, other.address)
 				}
 			}
 		}
--- a/internal/peer/spread_test.go
+++ b/internal/peer/spread_test.go
@@ -110,7 +110,7 @@
 		s.read[i] = len(s.entries)
 		n.store.Offer(news...)
 		n.store.Covered(after, through)
-		n.gossip.TellDirect(space, peer.Changes{After: after, Through: through, Entries: news}, s.members)
+		n.gossip.PushChanges(space, peer.Changes{After: after, Through: through, Entries: news}, s.members)
 	}
 }
 
@@ -183,7 +183,7 @@
 			}
 			for _, n := range from {
 				n.store.Offer(entries...)
-				n.gossip.TellDirect(space, peer.Changes{After: uint64(batch - 1), Through: uint64(batch), Entries: entries}, reading)
+				n.gossip.PushChanges(space, peer.Changes{After: uint64(batch - 1), Through: uint64(batch), Entries: entries}, reading)
 			}
 		}
 		before := made.countCalls("")
--- a/internal/publisher/client.go
+++ b/internal/publisher/client.go
@@ -70,8 +70,8 @@
 	return c.watch(ctx, space, after, WatchFor)
 }
 
-// News returns the changes of space after a revision without waiting for any.
-func (c *Client) News(ctx context.Context, space Space, after uint64) (Values, error) {
+// Poll returns the changes of space after a revision without waiting for any.
+func (c *Client) Poll(ctx context.Context, space Space, after uint64) (Values, error) {
 	return c.watch(ctx, space, after, 0)
 }
 
@@ -83,14 +83,14 @@
 func (c *Client) get(ctx context.Context, path string, responseTimeout time.Duration) (Values, error) {
 	c.calls.Add(1)
 	address := c.addresses[int(c.addressIndex.Load())%len(c.addresses)]
-	v, err := c.getFrom(ctx, address, path, Patience{First: responseTimeout, Stall: stallTimeout, Whole: totalTimeout})
+	v, err := c.getFrom(ctx, address, path, ReadTimeouts{First: responseTimeout, Stall: stallTimeout, Whole: totalTimeout})
 	if err != nil && !errors.Is(err, ErrCompacted) {
 		c.addressIndex.Add(1)
 	}
 	return v, err
 }
 
-func (c *Client) getFrom(ctx context.Context, address netip.AddrPort, path string, readTimeouts Patience) (Values, error) {
+func (c *Client) getFrom(ctx context.Context, address netip.AddrPort, path string, readTimeouts ReadTimeouts) (Values, error) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address.String()+path, http.NoBody)
 	if err != nil {
 		return Values{}, fmt.Errorf("publisher: %w", err)
--- a/internal/publisher/timeouts.go
+++ b/internal/publisher/timeouts.go
@@ -15,10 +15,10 @@
 // ErrStalled reports that a response made no progress in time.
 var ErrStalled = errors.New("publisher: response stalled")
 
-// Patience bounds the wait for a response by its progress rather than by a single total time. A
+// ReadTimeouts bounds the wait for a response by its progress rather than by a single total time. A
 // value of 1 MB takes longer on a slow link than a small one, and a transfer that makes
 // progress must not be discarded.
-type Patience struct {
+type ReadTimeouts struct {
 	// First bounds the time until the first byte of the body, Stall the time without further
 	// bytes after that, and Whole the total time.
 	First time.Duration
@@ -28,7 +28,7 @@
 
 // Do sends r and calls handle with the response. Reads of its body fail with ErrStalled once the
 // response exceeds First or Stall.
-func (p Patience) Do(client *http.Client, r *http.Request, handle func(*http.Response) error) error {
+func (p ReadTimeouts) Do(client *http.Client, r *http.Request, handle func(*http.Response) error) error {
 	ctx, cancel := context.WithTimeout(r.Context(), p.Whole)
 	defer cancel()
 	ctx, abort := context.WithCancelCause(ctx)
--- a/internal/publisher/timeouts_test.go
+++ b/internal/publisher/timeouts_test.go
@@ -17,7 +17,7 @@
 	"github.com/wingvale/wingvale/internal/publisher"
 )
 
-var readTimeouts = publisher.Patience{First: 500 * time.Millisecond, Stall: time.Second, Whole: 30 * time.Second}
+var readTimeouts = publisher.ReadTimeouts{First: 500 * time.Millisecond, Stall: time.Second, Whole: 30 * time.Second}
 
 // slowly returns a handler that answers in parts, each after a pause.
 func slowly(pauses ...time.Duration) http.HandlerFunc {
--- a/internal/publisher/watcher.go
+++ b/internal/publisher/watcher.go
@@ -39,8 +39,8 @@
 	// Watch waits for changes of space after a revision and returns them, or no changes once
 	// some time has passed. It returns ErrCompacted if the revision is too old.
 	Watch(ctx context.Context, space Space, after uint64) (Values, error)
-	// News is like Watch but does not wait.
-	News(ctx context.Context, space Space, after uint64) (Values, error)
+	// Poll is like Watch but does not wait.
+	Poll(ctx context.Context, space Space, after uint64) (Values, error)
 }
 
 // Accepted is called with entries that came into force by a read.
@@ -51,34 +51,35 @@
 	Source Source
 	Space  Space
 	Store  Store
-	// Must reports whether this node must watch now.
-	Must func() bool
-	// Had waits at the start until peers have sent their entries to this node. It calls yield
-	// once they are expected to, which cancels the node's own read of all keys. It returns the
-	// revision up to which the store then has every key, or 0 if this node must read all keys
-	// itself. If Had is nil the node reads them itself. When a whole fleet starts and reads all
-	// keys, that takes as long as the link of the publisher needs for hosts times keys.
-	Had func(ctx context.Context, yield func()) uint64
+	// MustWatch reports whether this node must watch now.
+	MustWatch func() bool
+	// AwaitPeers waits at the start until peers have sent their entries to this node. It calls
+	// yield once they are expected to, which cancels the node's own read of all keys. It
+	// returns the revision up to which the store then has every key, or 0 if this node must
+	// read all keys itself. If AwaitPeers is nil the node reads them itself. When a whole fleet
+	// starts and reads all keys, that takes as long as the link of the publisher needs for
+	// hosts times keys.
+	AwaitPeers func(ctx context.Context, yield func()) uint64
 	// Through returns the revision up to which the store has every key from any source. A node
 	// that starts to watch continues from there instead of reading all keys. Nil means that the
 	// revision is unknown.
 	Through  func() uint64
 	Accepted Accepted
-	// Brought is called with all changes after one revision up to another that a watch
+	// OnChanges is called with all changes after one revision up to another that a watch
 	// returned, including those that the store already had. It is called without revisions for
 	// the new entries of a later listing. It may be nil.
-	Brought func(after, through uint64, entries []published.Entry)
-	// Lost is called at each failed call to the source, and Regained when the source answers
-	// again. Both may be nil.
-	Lost     func()
-	Regained func()
-	// Answers is called at the first response, and whenever the source stops or resumes to
+	OnChanges func(after, through uint64, entries []published.Entry)
+	// OnUnavailable is called at each failed call to the source, and OnAvailable when the
+	// source answers again. Both may be nil.
+	OnUnavailable func()
+	OnAvailable   func()
+	// OnAnswering is called at the first response, and whenever the source stops or resumes to
 	// answer. It may be nil.
-	Answers func(answers bool)
-	Log     logrus.FieldLogger
-	Random  *rand.Rand
-	// MostBackoff bounds the delay between retries; 0 means the default.
-	MostBackoff time.Duration
+	OnAnswering func(answers bool)
+	Log         logrus.FieldLogger
+	Random      *rand.Rand
+	// MaxBackoff bounds the delay between retries; 0 means the default.
+	MaxBackoff time.Duration
 	// Pause is the delay after each watch that returned changes, so that many changes in a row
 	// arrive in few responses.
 	Pause time.Duration
@@ -101,8 +102,8 @@
 	return w.done
 }
 
-// First returns a channel that is closed when the space has been read once.
-func (w *Watcher) First() <-chan struct{} {
+// Ready returns a channel that is closed when the space has been read once.
+func (w *Watcher) Ready() <-chan struct{} {
 	return w.ready
 }
 
@@ -120,7 +121,7 @@
 	}
 	backoff := minBackoff
 	for ctx.Err() == nil {
-		if started && !w.options.Must() {
+		if started && !w.options.MustWatch() {
 			sleep(ctx, idleCheckInterval)
 			after, lastFullRead = w.resumeFrom(after)
 			continue
@@ -152,15 +153,15 @@
 				w.reportAnswers(false)
 			}
 			unavailable = true
-			callIfSet(w.options.Lost)
+			callIfSet(w.options.OnUnavailable)
 			sleep(ctx, backoff+time.Duration(w.options.Random.Int64N(int64(backoff))))
-			backoff = min(2*backoff, cmp.Or(w.options.MostBackoff, maxBackoff))
+			backoff = min(2*backoff, cmp.Or(w.options.MaxBackoff, maxBackoff))
 			continue
 		}
 		if unavailable {
 			unavailable = false
 			w.options.Log.WithField("space", w.options.Space).WithField("revision", next).Info("the platform answers again")
-			callIfSet(w.options.Regained)
+			callIfSet(w.options.OnAvailable)
 			w.reportAnswers(true)
 		}
 		if time.Since(lastFullRead) > fullReadInterval {
@@ -181,7 +182,7 @@
 // readInitially reads all keys unless peers send them first, and reports whether it read them.
 // Otherwise it returns the revision up to which peers sent all entries, 0 if they did not.
 func (w *Watcher) readInitially(ctx context.Context) (after uint64, read bool) {
-	if w.options.Had == nil {
+	if w.options.AwaitPeers == nil {
 		return 0, false
 	}
 	reading, yield := context.WithCancel(ctx)
@@ -189,7 +190,7 @@
 	waiting, stop := context.WithCancel(ctx)
 	defer stop()
 	peersDone := make(chan uint64, 1)
-	go func() { peersDone <- w.options.Had(waiting, yield) }()
+	go func() { peersDone <- w.options.AwaitPeers(waiting, yield) }()
 	next, err := w.readOrWatch(reading, 0, true)
 	if err != nil {
 		// Peers may reach the source sooner. If all nodes read again when it returns, their
@@ -216,7 +217,7 @@
 	if !sentByPeers {
 		return w.readOrWatch(ctx, after, full)
 	}
-	values, err := w.options.Source.News(ctx, w.options.Space, after)
+	values, err := w.options.Source.Poll(ctx, w.options.Space, after)
 	if err != nil {
 		return 0, err
 	}
@@ -243,8 +244,8 @@
 }
 
 func (w *Watcher) reportChanges(after, through uint64, entries []published.Entry) {
-	if w.options.Brought != nil && len(entries) > 0 {
-		w.options.Brought(after, through, entries)
+	if w.options.OnChanges != nil && len(entries) > 0 {
+		w.options.OnChanges(after, through, entries)
 	}
 }
 
@@ -279,8 +280,8 @@
 }
 
 func (w *Watcher) reportAnswers(answers bool) {
-	if w.options.Answers != nil {
-		w.options.Answers(answers)
+	if w.options.OnAnswering != nil {
+		w.options.OnAnswering(answers)
 	}
 }
 
--- a/internal/publisher/watcher_test.go
+++ b/internal/publisher/watcher_test.go
@@ -57,8 +57,8 @@
 	return s.answer()
 }
 
-// News returns at once.
-func (s *source) News(context.Context, publisher.Space, uint64) (publisher.Values, error) {
+// Poll returns at once.
+func (s *source) Poll(context.Context, publisher.Space, uint64) (publisher.Values, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.answer()
@@ -84,7 +84,7 @@
 		log := logrus.New()
 		log.SetOutput(io.Discard)
 		o := publisher.WatcherOptions{
-			Source: src, Space: publisher.SpaceConfiguration, Store: store, Must: func() bool { return true },
+			Source: src, Space: publisher.SpaceConfiguration, Store: store, MustWatch: func() bool { return true },
 			Accepted: func([]published.Entry) {}, Log: log, Random: rand.New(rand.NewPCG(1, 1)),
 		}
 		if change != nil {
@@ -131,8 +131,8 @@
 	src := &source{revision: 7}
 	lost, regained := 0, 0
 	options := func(o *publisher.WatcherOptions) {
-		o.Lost, o.Regained = func() { lost++ }, func() { regained++ }
-		o.MostBackoff = 500 * time.Millisecond
+		o.OnUnavailable, o.OnAvailable = func() { lost++ }, func() { regained++ }
+		o.MaxBackoff = 500 * time.Millisecond
 	}
 	runWatcher(t, src, options, func(*published.Store[string]) {
 		time.Sleep(1500 * time.Millisecond)
@@ -149,7 +149,7 @@
 
 func TestNodeThatNeedNotWatchReadsOnlyAtStart(t *testing.T) {
 	src := &source{revision: 7}
-	runWatcher(t, src, func(o *publisher.WatcherOptions) { o.Must = func() bool { return false } }, func(store *published.Store[string]) {
+	runWatcher(t, src, func(o *publisher.WatcherOptions) { o.MustWatch = func() bool { return false } }, func(store *published.Store[string]) {
 		time.Sleep(time.Minute)
 		reads, watches := src.counts()
 		assert.Equal(t, reads, 1)
