--- a/internal/scenario/call.go
+++ b/internal/scenario/call.go
@@ -28,7 +28,7 @@
 
 // send sends a request in the background:
 // send NAME WORKSPACE PIPELINE INPUT [unrepeatable] [deadline=TIME].
-func (w *World) send(args []string) error {
+func (env *World) send(args []string) error {
 	if len(args) < 4 {
 		return errUsage
 	}
@@ -48,26 +48,26 @@
 		spec.Unrepeatable = true
 	}
 	c := &call{done: make(chan struct{}), spec: spec}
-	w.mu.Lock()
-	w.calls[args[0]] = c
-	w.mu.Unlock()
-	caller := w.site.Client(w.site.Nodes()[0].Zone)
+	env.mu.Lock()
+	env.calls[args[0]] = c
+	env.mu.Unlock()
+	caller := env.site.Client(env.site.Nodes()[0].Zone)
 	go func() {
 		defer close(c.done)
-		c.answer, c.err = caller.Do(w.ctx, spec)
+		c.answer, c.err = caller.Do(env.ctx, spec)
 	}()
 	return nil
 }
 
 // await waits for a request and checks its outcome: await NAME answered, or
 // await NAME VERDICT REASON. The answer to a question must be exactly the expected text.
-func (w *World) await(args []string) error {
+func (env *World) await(args []string) error {
 	if len(args) < 2 {
 		return errUsage
 	}
-	w.mu.Lock()
-	c := w.calls[args[0]]
-	w.mu.Unlock()
+	env.mu.Lock()
+	c := env.calls[args[0]]
+	env.mu.Unlock()
 	if c == nil {
 		return fmt.Errorf("no request named %s", args[0])
 	}
@@ -112,19 +112,19 @@
 
 // arrivals checks how many calls the servers of a pool have started to run for a request:
 // arrivals NAME POOL COUNT.
-func (w *World) arrivals(args []string) error {
+func (env *World) arrivals(args []string) error {
 	if len(args) != 3 {
 		return errUsage
 	}
-	w.mu.Lock()
-	c := w.calls[args[0]]
-	w.mu.Unlock()
+	env.mu.Lock()
+	c := env.calls[args[0]]
+	env.mu.Unlock()
 	want, err := strconv.Atoi(args[2])
 	if c == nil || err != nil {
 		return errUsage
 	}
 	got := 0
-	for _, s := range w.site.Servers(args[1]) {
+	for _, s := range env.site.Servers(args[1]) {
 		for _, a := range s.Arrivals() {
 			if a.Input == c.spec.Input {
 				got++
--- a/internal/scenario/check.go
+++ b/internal/scenario/check.go
@@ -13,7 +13,7 @@
 
 // eventually waits until check succeeds on each running node. It returns the last error if it does
 // not within the duration in text.
-func (w *World) eventually(text string, check func(d node.Dump) error) error {
+func (env *World) eventually(text string, check func(d node.Dump) error) error {
 	within, err := time.ParseDuration(text)
 	if err != nil {
 		return err
@@ -21,7 +21,7 @@
 	deadline := time.Now().Add(within)
 	for {
 		var lastErr error
-		for _, n := range w.site.Nodes() {
+		for _, n := range env.site.Nodes() {
 			select {
 			case <-n.Done():
 				continue
@@ -40,7 +40,7 @@
 
 // inForce checks that all running nodes use a revision of a key within a time:
 // inforce KEY REVISION TIME.
-func (w *World) inForce(args []string) error {
+func (env *World) inForce(args []string) error {
 	if len(args) != 3 {
 		return errUsage
 	}
@@ -48,7 +48,7 @@
 	if err != nil {
 		return err
 	}
-	return w.eventually(args[2], func(d node.Dump) error {
+	return env.eventually(args[2], func(d node.Dump) error {
 		if got := d.Configuration.Revisions[args[0]]; got != want {
 			return fmt.Errorf("has revision %d of %s, want %d", got, args[0], want)
 		}
@@ -58,7 +58,7 @@
 
 // member checks that all running nodes that have a node in their view see it in a state within a
 // time: member node:I STATE TIME.
-func (w *World) member(args []string) error {
+func (env *World) member(args []string) error {
 	if len(args) != 3 {
 		return errUsage
 	}
@@ -66,8 +66,8 @@
 	if !ok {
 		return errUsage
 	}
-	address := w.site.Nodes()[i].Caller
-	return w.eventually(args[2], func(d node.Dump) error {
+	address := env.site.Nodes()[i].Caller
+	return env.eventually(args[2], func(d node.Dump) error {
 		for _, m := range d.Members {
 			if m.Address == address && m.State.String() != args[1] {
 				return fmt.Errorf("has member %s in state %s, want %s", address, m.State, args[1])
@@ -79,15 +79,15 @@
 
 // leaving checks that all running nodes know within a time that a server is leaving:
 // leaving POOL:I TIME.
-func (w *World) leaving(args []string) error {
+func (env *World) leaving(args []string) error {
 	if len(args) != 2 {
 		return errUsage
 	}
-	s, err := w.server(args[0])
+	s, err := env.server(args[0])
 	if err != nil {
 		return err
 	}
-	return w.eventually(args[1], func(d node.Dump) error {
+	return env.eventually(args[1], func(d node.Dump) error {
 		for _, state := range d.Pools[s.Pool.Name].Servers {
 			if state.Address == s.Address && state.Leaving {
 				return nil
--- a/internal/scenario/fault.go
+++ b/internal/scenario/fault.go
@@ -16,36 +16,36 @@
 )
 
 // crash kills nodes and backend servers: crash NAME...
-func (w *World) crash(args []string) error {
+func (env *World) crash(args []string) error {
 	for _, name := range args {
 		if i, ok := nodeIndex(name); ok {
-			w.site.KillNode(i)
+			env.site.KillNode(i)
 			continue
 		}
-		s, err := w.server(name)
+		s, err := env.server(name)
 		if err != nil {
 			return err
 		}
-		w.site.KillServer(s)
+		env.site.KillServer(s)
 	}
 	return nil
 }
 
 // restart starts killed or stopped nodes and backend servers as new instances: restart NAME...
-func (w *World) restart(args []string) error {
+func (env *World) restart(args []string) error {
 	for _, name := range args {
 		if i, ok := nodeIndex(name); ok {
-			if err := w.site.StartNode(i); err != nil {
+			if err := env.site.StartNode(i); err != nil {
 				return err
 			}
 			continue
 		}
-		s, err := w.server(name)
+		s, err := env.server(name)
 		if err != nil {
 			return err
 		}
 		s.Instance += "+"
-		if err := w.site.StartServer(s); err != nil {
+		if err := env.site.StartServer(s); err != nil {
 			return err
 		}
 	}
@@ -54,7 +54,7 @@
 
 // drain starts a planned stop of a node, and with wait also waits for its end:
 // drain node:I [wait].
-func (w *World) drain(args []string) error {
+func (env *World) drain(args []string) error {
 	if len(args) < 1 {
 		return errUsage
 	}
@@ -62,7 +62,7 @@
 	if !ok {
 		return errUsage
 	}
-	n := w.site.Nodes()[i]
+	n := env.site.Nodes()[i]
 	n.Stop()
 	if len(args) == 1 {
 		return nil
@@ -75,45 +75,45 @@
 	}
 }
 
-func (w *World) freeze(args []string, frozen bool) error {
+func (env *World) freeze(args []string, frozen bool) error {
 	for _, name := range args {
-		hosts, err := w.hosts(name)
+		hosts, err := env.hosts(name)
 		if err != nil {
 			return err
 		}
-		w.network.Freeze(hosts[0], frozen)
+		env.network.Freeze(hosts[0], frozen)
 	}
 	return nil
 }
 
 // cut delays all data from one host to another, or in both directions: cut FROM TO [both].
-func (w *World) cut(args []string) error {
+func (env *World) cut(args []string) error {
 	if len(args) < 2 {
 		return errUsage
 	}
-	from, fromErr := w.hosts(args[0])
-	to, toErr := w.hosts(args[1])
+	from, fromErr := env.hosts(args[0])
+	to, toErr := env.hosts(args[1])
 	if err := errors.Join(fromErr, toErr); err != nil {
 		return err
 	}
-	w.network.Cut(from[0], to[0])
+	env.network.Cut(from[0], to[0])
 	if len(args) > 2 {
-		w.network.Cut(to[0], from[0])
+		env.network.Cut(to[0], from[0])
 	}
 	return nil
 }
 
-func (w *World) heal([]string) error {
-	w.network.HealAll()
+func (env *World) heal([]string) error {
+	env.network.HealAll()
 	return nil
 }
 
 // set changes a knob of a backend server: set POOL:I KNOB VALUE.
-func (w *World) set(args []string) error {
+func (env *World) set(args []string) error {
 	if len(args) != 3 {
 		return errUsage
 	}
-	s, err := w.server(args[0])
+	s, err := env.server(args[0])
 	if err != nil {
 		return err
 	}
@@ -150,11 +150,11 @@
 
 // platform makes the configuration service answer, refuse all calls, or answer with the state at an
 // older revision: platform up | down | stale REVISION [node:I] | fresh [node:I].
-func (w *World) platform(args []string) error {
-	c := w.site.Configuration
+func (env *World) platform(args []string) error {
+	c := env.site.Configuration
 	reader := netip.Addr{}
 	if len(args) > 1 && strings.HasPrefix(args[len(args)-1], "node:") {
-		hosts, err := w.hosts(args[len(args)-1])
+		hosts, err := env.hosts(args[len(args)-1])
 		if err != nil {
 			return err
 		}
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -48,42 +48,42 @@
 }
 
 // Close ends the calls and the site.
-func (w *World) Close() {
-	w.cancel()
-	for _, c := range w.calls {
+func (env *World) Close() {
+	env.cancel()
+	for _, c := range env.calls {
 		<-c.done
 	}
-	if w.network != nil {
-		w.network.HealAll()
+	if env.network != nil {
+		env.network.HealAll()
 	}
-	if w.site != nil {
-		w.site.Close()
+	if env.site != nil {
+		env.site.Close()
 	}
 }
 
 // Commands returns the commands of the language. A command that returns an error fails the script.
 // With "!" before it a command must fail.
-func (w *World) Commands() map[string]func(ts *testscript.TestScript, neg bool, args []string) {
+func (env *World) Commands() map[string]func(ts *testscript.TestScript, neg bool, args []string) {
 	commands := map[string]func(args []string) error{
-		"site":     w.startSite,
-		"send":     w.send,
-		"await":    w.await,
-		"crash":    w.crash,
-		"restart":  w.restart,
-		"drain":    w.drain,
-		"pause":    func(args []string) error { return w.freeze(args, true) },
-		"resume":   func(args []string) error { return w.freeze(args, false) },
-		"cut":      w.cut,
-		"heal":     w.heal,
-		"set":      w.set,
-		"platform": w.platform,
-		"publish":  w.publish,
-		"remove":   w.remove,
-		"inforce":  w.inForce,
+		"site":     env.startSite,
+		"send":     env.send,
+		"await":    env.await,
+		"crash":    env.crash,
+		"restart":  env.restart,
+		"drain":    env.drain,
+		"pause":    func(args []string) error { return env.freeze(args, true) },
+		"resume":   func(args []string) error { return env.freeze(args, false) },
+		"cut":      env.cut,
+		"heal":     env.heal,
+		"set":      env.set,
+		"platform": env.platform,
+		"publish":  env.publish,
+		"remove":   env.remove,
+		"inforce":  env.inForce,
 		"sleep":    sleep,
-		"arrivals": w.arrivals,
-		"member":   w.member,
-		"leaving":  w.leaving,
+		"arrivals": env.arrivals,
+		"member":   env.member,
+		"leaving":  env.leaving,
 	}
 	all := make(map[string]func(*testscript.TestScript, bool, []string), len(commands))
 	for name, run := range commands {
@@ -104,7 +104,7 @@
 
 // startSite creates the site and waits until its nodes are ready:
 // site NODES [token=TIME] [work=TIME].
-func (w *World) startSite(args []string) error {
+func (env *World) startSite(args []string) error {
 	if len(args) < 1 {
 		return errUsage
 	}
@@ -128,11 +128,11 @@
 			return errUsage
 		}
 	}
-	w.network = memnet.New(func(netip.Addr, netip.Addr) time.Duration { return 500 * time.Microsecond })
-	w.site, err = harness.New(harness.Options{
+	env.network = memnet.New(func(netip.Addr, netip.Addr) time.Duration { return 500 * time.Microsecond })
+	env.site, err = harness.New(harness.Options{
 		Site:    sites.Farbwerk(),
 		Nodes:   nodes,
-		Network: harness.Memory{Network: w.network},
+		Network: harness.Memory{Network: env.network},
 		Knobs:   func(sites.Pool) standin.Knobs { return standin.Knobs{Work: work} },
 		Token:   token,
 	})
@@ -141,33 +141,33 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), readyTimeout)
 	defer cancel()
-	return w.site.AwaitReady(ctx)
+	return env.site.AwaitReady(ctx)
 }
 
 // hosts returns the addresses of the host with a name: node:I, POOL:I or platform.
-func (w *World) hosts(name string) ([]netip.Addr, error) {
+func (env *World) hosts(name string) ([]netip.Addr, error) {
 	kind, index, _ := strings.Cut(name, ":")
 	if kind == "platform" {
-		return []netip.Addr{w.site.Platform().Addr()}, nil
+		return []netip.Addr{env.site.Platform().Addr()}, nil
 	}
 	i, err := strconv.Atoi(index)
 	if err != nil {
 		return nil, fmt.Errorf("%q: want node:I, POOL:I or platform", name)
 	}
 	if kind == "node" {
-		return []netip.Addr{w.site.Nodes()[i].Caller.Addr()}, nil
+		return []netip.Addr{env.site.Nodes()[i].Caller.Addr()}, nil
 	}
-	s, err := w.server(name)
+	s, err := env.server(name)
 	if err != nil {
 		return nil, err
 	}
 	return []netip.Addr{s.Address.Addr()}, nil
 }
 
-func (w *World) server(name string) (*harness.Server, error) {
+func (env *World) server(name string) (*harness.Server, error) {
 	pool, index, _ := strings.Cut(name, ":")
 	i, err := strconv.Atoi(index)
-	servers := w.site.Servers(pool)
+	servers := env.site.Servers(pool)
 	if err != nil || i >= len(servers) {
 		return nil, fmt.Errorf("no server named %s", name)
 	}
@@ -181,19 +181,19 @@
 }
 
 // publish publishes a value of a key: publish KEY VALUE.
-func (w *World) publish(args []string) error {
+func (env *World) publish(args []string) error {
 	if len(args) != 2 {
 		return errUsage
 	}
-	w.site.Configuration.Publish(publisher.SpaceConfiguration, args[0], args[1])
+	env.site.Configuration.Publish(publisher.SpaceConfiguration, args[0], args[1])
 	return nil
 }
 
-func (w *World) remove(args []string) error {
+func (env *World) remove(args []string) error {
 	if len(args) != 1 {
 		return errUsage
 	}
-	w.site.Configuration.Remove(publisher.SpaceConfiguration, args[0])
+	env.site.Configuration.Remove(publisher.SpaceConfiguration, args[0])
 	return nil
 }
 
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -63,9 +63,9 @@
 		t.Run(strings.TrimSuffix(filepath.Base(file), ".txt"), func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				w := scenario.New()
-				defer w.Close()
-				testscript.RunT(inlineT{t}, testscript.Params{Files: []string{file}, Cmds: w.Commands()})
+				env := scenario.New()
+				defer env.Close()
+				testscript.RunT(inlineT{t}, testscript.Params{Files: []string{file}, Cmds: env.Commands()})
 			})
 		})
 	}
