--- a/internal/campaign/campaign.go
+++ b/internal/campaign/campaign.go
@@ -23,47 +23,47 @@
 	"github.com/wingvale/wingvale/request"
 )
 
-// Options describe one run.
+// Options configure a campaign.
 type Options struct {
 	Seed  uint64
 	Nodes int
-	// For is how long faults and requests go on.
+	// For is how long faults are injected and requests are sent.
 	For time.Duration
-	// Only, if set, is the one kind of fault that is made.
+	// Only, if set, is the only kind of fault to inject.
 	Only string
 }
 
 const (
-	callers = 5
-	// settleFor is how long the site has to come to rest after the last fault.
-	settleFor = 25 * time.Second
-	callFor   = 45 * time.Second
-	// everyCall is the mean time between two requests of one caller.
-	everyCall = 300 * time.Millisecond
-	work      = 10 * time.Millisecond
-	token     = 15 * time.Millisecond
-	longTimes = "12 times"
-	// firstVersion is the one that the site publishes.
+	callerCount = 5
+	// recoveryTime is how long the site has to recover after the last fault.
+	recoveryTime = 25 * time.Second
+	callTimeout  = 45 * time.Second
+	// meanCallInterval is the mean time between two requests of one caller.
+	meanCallInterval = 300 * time.Millisecond
+	callTime         = 10 * time.Millisecond
+	tokenInterval    = 15 * time.Millisecond
+	longAnswerSuffix = "12 times"
+	// firstVersion is the version of the model that the site publishes at the start.
 	firstVersion = 7
-	// One request of doubledOf is sent twice under its id, to two nodes, the
-	// second time up to doubledLate later.
-	doubledOf   = 10
-	doubledLate = 4 * time.Second
+	// One request in duplicateEvery is sent twice under one id, to two nodes. The second copy
+	// is sent up to maxDuplicateDelay later.
+	duplicateEvery    = 10
+	maxDuplicateDelay = 4 * time.Second
 )
 
-// Report says what happened in one run.
+// Report is the result of a campaign.
 type Report struct {
 	Seed uint64
-	// Breaches name each broken promise.
+	// Breaches describes each violated guarantee.
 	Breaches []string
-	// Faults counts the faults made, Paths the recovery paths taken, and
-	// Outcomes what callers were told.
+	// Faults counts the injected faults by kind, Paths the recovery paths by metric, and
+	// Outcomes the outcomes of requests.
 	Faults   map[string]int
 	Paths    map[string]int64
 	Outcomes map[string]int
 }
 
-// run is one campaign under way.
+// run is the state of a running campaign.
 type run struct {
 	options Options
 	network *memnet.Network
@@ -72,40 +72,42 @@
 	random  *rand.Rand
 
 	mu sync.Mutex
-	// history has every call that has ended.
-	history []record
-	faults  map[string]int
-	// busy marks nodes and servers that a fault has hold of.
-	busy map[string]bool
-	// doubles has the requests that were sent twice.
-	doubles []doubled
-	// listed has the servers that the host list called leaving, and when.
-	listed  []leave
-	checker *configurationChecker
-	// disturbed is when the last fault that hides news ended.
-	disturbed time.Time
-	breaches  []string
-	// version is the last one of the model that was published.
+	// endedCalls has all calls that have ended.
+	endedCalls []callRecord
+	faults     map[string]int
+	// faulty marks the nodes, pools and services that a fault currently affects.
+	faulty map[string]bool
+	// duplicates has the requests that were sent twice.
+	duplicates []duplicate
+	// listedLeaving has the servers that the host list marked as leaving, and when.
+	listedLeaving []listedServer
+	checker       *configurationChecker
+	// delaysEndAt is when the last fault ends that delays the spread of changes.
+	delaysEndAt time.Time
+	breaches    []string
+	// version is the last published version of the model.
 	version int
-	// kept has what replaced servers saw.
-	kept []arrival
+	// replacedArrivals has the calls that servers received before they were replaced.
+	replacedArrivals []arrival
 }
 
-type record struct {
-	spec   request.Spec
-	answer client.Answer
-	err    error
-	begin  time.Time
-	took   time.Duration
+// callRecord is a call that has ended.
+type callRecord struct {
+	spec      request.Spec
+	answer    client.Answer
+	err       error
+	startedAt time.Time
+	duration  time.Duration
 }
 
-type leave struct {
-	server *harness.Server
-	since  time.Time
-	until  time.Time
+// listedServer is a server that the host list marked as leaving during a time.
+type listedServer struct {
+	server     *harness.Server
+	listedAt   time.Time
+	unlistedAt time.Time
 }
 
-// Site returns the small site that campaigns run on.
+// Site returns the small site on which campaigns run.
 func Site() sites.Site {
 	s := sites.Farbwerk()
 	runners := map[string]int{"language-models": 4, "encoders": 2, "retrievers": 2, "rerankers": 2, "mixing-portal": 2, "invoicing": 2}
@@ -116,7 +118,7 @@
 	return s
 }
 
-// Run runs one campaign. It must be called in a synctest bubble.
+// Run runs a campaign and returns its report. It must be called in a synctest bubble.
 func Run(ctx context.Context, o Options) (Report, error) {
 	r := &run{
 		options: o,
@@ -124,15 +126,15 @@
 		scope:   tally.NewTestScope("", nil),
 		random:  rand.New(rand.NewPCG(o.Seed, 1)),
 		faults:  make(map[string]int),
-		busy:    make(map[string]bool),
+		faulty:  make(map[string]bool),
 		version: firstVersion,
 	}
 	site, err := harness.New(harness.Options{
 		Site:       Site(),
 		Nodes:      o.Nodes,
 		Network:    harness.Memory{Network: r.network},
-		Knobs:      func(sites.Pool) standin.Knobs { return standin.Knobs{Work: work, Jitter: 0.5} },
-		Token:      token,
+		Knobs:      func(sites.Pool) standin.Knobs { return standin.Knobs{Work: callTime, Jitter: 0.5} },
+		Token:      tokenInterval,
 		WeightRate: 10 << 30,
 		Seed:       o.Seed,
 		Scope:      r.scope,
@@ -151,55 +153,56 @@
 		return Report{}, err
 	}
 	r.checker = newConfigurationChecker(r)
-	r.play(ctx)
-	r.settle(ctx)
+	r.runWorkload(ctx)
+	r.checkRecovery(ctx)
 	r.check()
 	return r.report(), nil
 }
 
-// latency is half a millisecond between any two hosts.
+// latency returns the one-way latency between two hosts, which is 0.5 ms for all of them.
 func latency(netip.Addr, netip.Addr) time.Duration {
 	return 500 * time.Microsecond
 }
 
-// play makes faults and requests until the time is up and all calls have
-// ended.
-func (r *run) play(ctx context.Context) {
+// runWorkload injects faults and sends requests for Options.For, and returns once all calls and
+// faults have ended.
+func (r *run) runWorkload(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	var watching sync.WaitGroup
-	watching.Go(func() { r.checker.watch(ctx) })
-	var all sync.WaitGroup
+	var watcher sync.WaitGroup
+	watcher.Go(func() { r.checker.watch(ctx) })
+	var tasks sync.WaitGroup
 	end := time.Now().Add(r.options.For)
-	for i := range callers {
+	for i := range callerCount {
 		random := rand.New(rand.NewPCG(r.options.Seed, uint64(100+i)))
-		all.Go(func() { r.call(ctx, i, random, end) })
+		tasks.Go(func() { r.runCaller(ctx, i, random, end) })
 	}
-	all.Go(func() { r.makeFaults(&all, end) })
-	all.Wait()
+	tasks.Go(func() { r.injectFaults(&tasks, end) })
+	tasks.Wait()
 	cancel()
-	watching.Wait()
+	watcher.Wait()
 }
 
-// call is one caller, who sends one request after the other and some at once.
-func (r *run) call(ctx context.Context, caller int, random *rand.Rand, end time.Time) {
+// runCaller sends the requests of one caller at random intervals until end, without waiting for
+// earlier ones, and returns once all have ended.
+func (r *run) runCaller(ctx context.Context, caller int, random *rand.Rand, end time.Time) {
 	c := r.site.Client(r.site.Nodes()[caller%len(r.site.Nodes())].Zone)
-	var all sync.WaitGroup
+	var tasks sync.WaitGroup
 	for n := 0; time.Now().Before(end); n++ {
-		spec := r.spec(random, fmt.Sprintf("c%dn%d", caller, n))
-		if random.IntN(doubledOf) == 0 {
-			late := time.Duration(random.Int64N(int64(doubledLate)))
-			all.Go(func() { r.double(ctx, c, spec, late) })
+		spec := r.randomSpec(random, fmt.Sprintf("c%dn%d", caller, n))
+		if random.IntN(duplicateEvery) == 0 {
+			delay := time.Duration(random.Int64N(int64(maxDuplicateDelay)))
+			tasks.Go(func() { r.sendDuplicate(ctx, c, spec, delay) })
 		} else {
-			all.Go(func() { r.do(ctx, c, spec) })
+			tasks.Go(func() { r.send(ctx, c, spec) })
 		}
-		time.Sleep(time.Duration(random.ExpFloat64() * float64(everyCall)))
+		time.Sleep(time.Duration(random.ExpFloat64() * float64(meanCallInterval)))
 	}
-	all.Wait()
+	tasks.Wait()
 }
 
-// spec returns a random request. Its input is used for no other.
-func (r *run) spec(random *rand.Rand, name string) request.Spec {
+// randomSpec returns a random request with a unique input.
+func (r *run) randomSpec(random *rand.Rand, name string) request.Spec {
 	questions := Site().Questions
 	q := questions[random.IntN(len(questions))] + " " + name
 	switch random.IntN(10) {
@@ -214,44 +217,45 @@
 	case 8:
 		return request.Spec{Workspace: "paint-shops-south", Pipeline: "catalogue-lookup", Input: q}
 	default:
-		return request.Spec{Workspace: "head-office", Pipeline: "season-review", Input: q + " " + longTimes}
+		return request.Spec{Workspace: "head-office", Pipeline: "season-review", Input: q + " " + longAnswerSuffix}
 	}
 }
 
-func (r *run) do(ctx context.Context, c *client.Client, spec request.Spec) {
-	ctx, cancel := context.WithTimeout(ctx, callFor)
+func (r *run) send(ctx context.Context, c *client.Client, spec request.Spec) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	begin := time.Now()
+	startedAt := time.Now()
 	answer, err := c.Do(ctx, spec)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.history = append(r.history, record{spec: spec, answer: answer, err: err, begin: begin, took: time.Since(begin)})
+	r.endedCalls = append(r.endedCalls, callRecord{spec: spec, answer: answer, err: err, startedAt: startedAt, duration: time.Since(startedAt)})
 }
 
-// settle ends all faults, waits, and then asks for one of each once more.
-func (r *run) settle(ctx context.Context) {
-	time.Sleep(settleFor)
-	r.checker.final()
+// checkRecovery waits for the site to recover after all faults, checks that all nodes agree, and
+// sends some more requests, which must succeed.
+func (r *run) checkRecovery(ctx context.Context) {
+	time.Sleep(recoveryTime)
+	r.checker.checkAgreement()
 	c := r.site.Client("")
 	random := rand.New(rand.NewPCG(r.options.Seed, 999))
 	for n := range 10 {
-		spec := r.spec(random, fmt.Sprintf("last%d", n))
-		r.do(ctx, c, spec)
-		if last := r.history[len(r.history)-1]; last.err != nil {
-			r.breach("after all faults ended, %s still fails: %v", spec.Pipeline, last.err)
+		spec := r.randomSpec(random, fmt.Sprintf("last%d", n))
+		r.send(ctx, c, spec)
+		if last := r.endedCalls[len(r.endedCalls)-1]; last.err != nil {
+			r.addBreach("after all faults ended, %s still fails: %v", spec.Pipeline, last.err)
 		}
 	}
 	time.Sleep(5 * time.Second)
 }
 
-func (r *run) breach(format string, args ...any) {
+func (r *run) addBreach(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.breaches = append(r.breaches, fmt.Sprintf(format, args...))
 }
 
 func (r *run) report() Report {
-	rep := Report{
+	result := Report{
 		Seed:     r.options.Seed,
 		Breaches: r.breaches,
 		Faults:   r.faults,
@@ -263,15 +267,15 @@
 		if reason := c.Tags()["reason"]; reason != "" {
 			name += "/" + c.Tags()["verdict"] + "/" + reason
 		}
-		rep.Paths[name] += c.Value()
+		result.Paths[name] += c.Value()
 	}
-	for _, h := range r.history {
-		rep.Outcomes[outcome(h)]++
+	for _, h := range r.endedCalls {
+		result.Outcomes[outcome(h)]++
 	}
-	return rep
+	return result
 }
 
-func outcome(h record) string {
+func outcome(h callRecord) string {
 	kind := "repeatable"
 	if h.spec.Unrepeatable {
 		kind = "unrepeatable"
--- a/internal/campaign/campaign_test.go
+++ b/internal/campaign/campaign_test.go
@@ -19,14 +19,14 @@
 )
 
 var (
-	from  = flag.Uint64("from", 1, "the first seed")
-	count = flag.Uint64("count", 12, "how many seeds")
-	only  = flag.String("only", "", "the one kind of fault to make")
-	nodes = flag.Int("nodes", 9, "how many entry hosts")
-	tell  = flag.Bool("tell", false, "print how often each fault and recovery path happened")
+	from        = flag.Uint64("from", 1, "the first seed")
+	count       = flag.Uint64("count", 12, "how many seeds")
+	only        = flag.String("only", "", "the one kind of fault to make")
+	nodes       = flag.Int("nodes", 9, "how many entry hosts")
+	printCounts = flag.Bool("tell", false, "print how often each fault and recovery path happened")
 )
 
-// totals adds up the reports of all seeds.
+// totals sums up the counts in the reports of all seeds.
 type totals struct {
 	mu       sync.Mutex
 	faults   map[string]int
@@ -34,7 +34,7 @@
 	outcomes map[string]int
 }
 
-func (s *totals) add(r campaign.Report) {
+func (s *totals) addReport(r campaign.Report) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for k, n := range r.Faults {
@@ -48,8 +48,8 @@
 	}
 }
 
-// TestEachFaultAlone makes each kind of fault on its own, so that every check
-// that other faults would excuse applies.
+// TestEachFaultAlone injects each kind of fault alone, so that no check is skipped because of other
+// faults.
 func TestEachFaultAlone(t *testing.T) {
 	for _, kind := range campaign.Kinds() {
 		t.Run(kind, func(t *testing.T) {
@@ -67,7 +67,7 @@
 }
 
 func TestSeeds(t *testing.T) {
-	sum := &totals{faults: make(map[string]int), paths: make(map[string]int64), outcomes: make(map[string]int)}
+	sums := &totals{faults: make(map[string]int), paths: make(map[string]int64), outcomes: make(map[string]int)}
 	t.Run("seeds", func(t *testing.T) {
 		for seed := *from; seed < *from+*count; seed++ {
 			t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
@@ -78,20 +78,20 @@
 					for _, b := range r.Breaches {
 						t.Errorf("seed %d: %s", seed, b)
 					}
-					sum.add(r)
+					sums.addReport(r)
 				})
 			})
 		}
 	})
-	if *tell {
-		tellCounts(t, "fault", sum.faults)
-		tellCounts(t, "path", sum.paths)
-		tellCounts(t, "outcome", sum.outcomes)
+	if *printCounts {
+		logCounts(t, "fault", sums.faults)
+		logCounts(t, "path", sums.paths)
+		logCounts(t, "outcome", sums.outcomes)
 	}
 }
 
-func tellCounts[N int | int64](t *testing.T, what string, counts map[string]N) {
+func logCounts[N int | int64](t *testing.T, kind string, counts map[string]N) {
 	for _, k := range slices.Sorted(maps.Keys(counts)) {
-		t.Logf("%s %s: %d", what, k, counts[k])
+		t.Logf("%s %s: %d", kind, k, counts[k])
 	}
 }
--- a/internal/campaign/check.go
+++ b/internal/campaign/check.go
@@ -18,21 +18,21 @@
 	"github.com/wingvale/wingvale/verdict"
 )
 
-// leavingFor is how long a leaving server may still get new work.
-const leavingFor = 5 * time.Second
+// leavingGrace is how long a server listed as leaving may still get new work.
+const leavingGrace = 5 * time.Second
 
-// arrival is one call that some server began, with the server's name.
+// arrival is a call that a server has started to run, with its pool and server.
 type arrival struct {
 	standin.Arrival
 	pool   string
 	server *harness.Server
 }
 
-// keepArrivals keeps what a server saw before it is replaced.
+// keepArrivals stores the calls of a server before it is replaced.
 func (r *run) keepArrivals(s *harness.Server) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.kept = append(r.kept, arrivalsOf(s)...)
+	r.replacedArrivals = append(r.replacedArrivals, arrivalsOf(s)...)
 }
 
 func arrivalsOf(s *harness.Server) []arrival {
@@ -43,9 +43,9 @@
 	return all
 }
 
-// check compares what callers were told with what servers saw.
+// check compares the answers that callers got with the calls that servers received.
 func (r *run) check() {
-	all := r.kept
+	all := r.replacedArrivals
 	for _, s := range r.site.Servers("") {
 		all = append(all, arrivalsOf(s)...)
 	}
@@ -53,51 +53,51 @@
 	for _, a := range all {
 		byInput[a.Input] = append(byInput[a.Input], a)
 	}
-	for _, h := range r.history {
+	for _, h := range r.endedCalls {
 		r.checkCall(h, byInput[h.spec.Input])
 	}
-	for _, d := range r.doubles {
-		r.checkDouble(d, byInput[d.spec.Input])
+	for _, d := range r.duplicates {
+		r.checkDuplicate(d, byInput[d.spec.Input])
 	}
 	for _, s := range r.site.Servers("language-models") {
 		r.checkOrders(s)
 	}
-	for _, l := range r.listed {
+	for _, l := range r.listedLeaving {
 		r.checkLeaving(l, all)
 	}
 	for i, n := range r.site.Nodes() {
 		if d := n.Dump(); d.Running != 0 {
-			r.breach("node %d still runs %d requests: %+v in pools %+v", i, d.Running, d.Requests.Running, d.Pools)
+			r.addBreach("node %d still runs %d requests: %+v in pools %+v", i, d.Running, d.Requests.Running, d.Pools)
 		}
 	}
 }
 
-func (r *run) checkCall(h record, arrivals []arrival) {
+func (r *run) checkCall(h callRecord, arrivals []arrival) {
 	if verdict.Of(h.err) == verdict.NotRun && len(arrivals) > 0 {
-		r.breach("%q was told not run (%v) and ran: %s", h.spec.Input, h.err, describe(arrivals))
+		r.addBreach("%q was told not run (%v) and ran: %s", h.spec.Input, h.err, describe(arrivals))
 	}
 	if h.spec.Unrepeatable {
 		r.checkOnce(h, arrivals)
 	}
 	if h.err == nil && h.spec.Unrepeatable && len(arrivals) == 0 {
-		r.breach("unrepeatable %q was answered and ran nowhere", h.spec.Input)
+		r.addBreach("unrepeatable %q was answered and ran nowhere", h.spec.Input)
 	}
 	if h.err == nil {
 		r.checkAnswer(h)
 	}
-	if h.took > callFor+time.Second {
-		r.breach("%q took %v", h.spec.Input, h.took)
+	if h.duration > callTimeout+time.Second {
+		r.addBreach("%q took %v", h.spec.Input, h.duration)
 	}
 }
 
-func (r *run) checkOnce(h record, arrivals []arrival) {
+func (r *run) checkOnce(h callRecord, arrivals []arrival) {
 	byStage := make(map[string]int)
 	for _, a := range arrivals {
 		byStage[a.Stage]++
 	}
 	for _, stage := range slices.Sorted(maps.Keys(byStage)) {
 		if byStage[stage] > 1 {
-			r.breach("unrepeatable %q ran stage %s %d times: %s", h.spec.Input, stage, byStage[stage], describe(arrivals))
+			r.addBreach("unrepeatable %q ran stage %s %d times: %s", h.spec.Input, stage, byStage[stage], describe(arrivals))
 		}
 	}
 }
@@ -117,25 +117,25 @@
 	return string(text)
 }
 
-// checkAnswer checks an answer word for word.
-func (r *run) checkAnswer(h record) {
+// checkAnswer checks that an answer is exactly the expected text or receipt.
+func (r *run) checkAnswer(h callRecord) {
 	switch h.spec.Pipeline {
 	case "recipe-explanation", "season-review":
 		want, err := standin.Expected(Site().Documents, h.spec.Input)
 		if err != nil || h.answer.Text != want {
-			r.breach("%q was answered %q, want %q", h.spec.Input, h.answer.Text, want)
+			r.addBreach("%q was answered %q, want %q", h.spec.Input, h.answer.Text, want)
 		}
 	default:
 		var got standin.Receipt
 		err := json.Unmarshal([]byte(h.answer.Text), &got)
 		if err != nil || got.Input != h.spec.Input || got.Request != h.answer.ID.String() {
-			r.breach("%q was answered with the receipt %q", h.spec.Input, h.answer.Text)
+			r.addBreach("%q was answered with the receipt %q", h.spec.Input, h.answer.Text)
 		}
 	}
 }
 
-// checkOrders checks that an engine was never ordered back to an older version,
-// and ended with the one that is published.
+// checkOrders checks that an engine was never ordered to load an older version than before, and
+// that it has the published version at the end.
 func (r *run) checkOrders(s *harness.Server) {
 	last := 0
 	for _, o := range s.Engine.Orders() {
@@ -144,7 +144,7 @@
 			continue
 		}
 		if version < last {
-			r.breach("engine %s was ordered from v%d back to v%d", s.Address, last, version)
+			r.addBreach("engine %s was ordered from v%d back to v%d", s.Address, last, version)
 		}
 		last = version
 	}
@@ -154,18 +154,18 @@
 			return
 		}
 	}
-	r.breach("engine %s ended with %+v, want %s %s", s.Address, s.Engine.State().Models, want.Model, want.Version)
+	r.addBreach("engine %s ended with %+v, want %s %s", s.Address, s.Engine.State().Models, want.Model, want.Version)
 }
 
-// checkLeaving looks for new work at a server that the list called leaving, if
-// nothing hid the news.
-func (r *run) checkLeaving(l leave, all []arrival) {
-	if r.disturbed.After(l.since) {
+// checkLeaving checks that a server got no new work while it was listed as leaving, apart from the
+// first leavingGrace. It checks nothing if a fault may have delayed the spread of the change.
+func (r *run) checkLeaving(l listedServer, all []arrival) {
+	if r.delaysEndAt.After(l.listedAt) {
 		return
 	}
 	for _, a := range all {
-		if a.server == l.server && a.At.After(l.since.Add(leavingFor)) && a.At.Before(l.until) {
-			r.breach("%s got new work %v after it was listed as leaving", a.server.Address, a.At.Sub(l.since))
+		if a.server == l.server && a.At.After(l.listedAt.Add(leavingGrace)) && a.At.Before(l.unlistedAt) {
+			r.addBreach("%s got new work %v after it was listed as leaving", a.server.Address, a.At.Sub(l.listedAt))
 		}
 	}
 }
--- a/internal/campaign/configuration.go
+++ b/internal/campaign/configuration.go
@@ -12,34 +12,35 @@
 	"github.com/wingvale/wingvale/internal/published"
 )
 
-// configurationChecker watches that no node ever goes back to an older value,
-// and that all end with the same ones.
+// configurationChecker checks that no node ever returns to an older revision of a key, and that all
+// nodes have the same configuration at the end.
 type configurationChecker struct {
 	run *run
 
 	mu sync.Mutex
-	// seen has for each node that runs the highest revision of each key.
+	// seen has the last seen revision of each key, by running node.
 	seen map[int]map[string]uint64
 	down map[int]bool
 }
 
-const lookEvery = 50 * time.Millisecond
+// pollInterval is how often watch reads the revisions of all nodes.
+const pollInterval = 50 * time.Millisecond
 
 func newConfigurationChecker(r *run) *configurationChecker {
 	return &configurationChecker{run: r, seen: make(map[int]map[string]uint64), down: make(map[int]bool)}
 }
 
-// forget notes that a node is down, and what it saw does not bind its next
-// incarnation.
-func (c *configurationChecker) forget(i int) {
+// markDown marks a node as down and removes its revisions, since its next incarnation may start
+// with older ones.
+func (c *configurationChecker) markDown(i int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.down[i] = true
 	delete(c.seen, i)
 }
 
-// remember notes that a node runs again.
-func (c *configurationChecker) remember(i int) {
+// markUp marks a node as running again.
+func (c *configurationChecker) markUp(i int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.down, i)
@@ -48,13 +49,13 @@
 func (c *configurationChecker) watch(ctx context.Context) {
 	for ctx.Err() == nil {
 		for i, n := range c.run.site.Nodes() {
-			c.look(i, n)
+			c.checkNode(i, n)
 		}
-		time.Sleep(lookEvery)
+		time.Sleep(pollInterval)
 	}
 }
 
-func (c *configurationChecker) look(i int, n *harness.Node) {
+func (c *configurationChecker) checkNode(i int, n *harness.Node) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.down[i] {
@@ -67,26 +68,27 @@
 	}
 	for key, revision := range n.Revisions() {
 		if revision < seen[key] {
-			c.run.breach("node %d went from revision %d of %s back to %d", i, seen[key], key, revision)
+			c.run.addBreach("node %d went from revision %d of %s back to %d", i, seen[key], key, revision)
 		}
 		seen[key] = revision
 	}
 }
 
-// final checks that all nodes agree once all faults have ended.
-func (c *configurationChecker) final() {
-	var first published.Summary
+// checkAgreement checks that all nodes are ready and have the same configuration. It must be called
+// after all faults have ended.
+func (c *configurationChecker) checkAgreement() {
+	var firstSummary published.Summary
 	for i, n := range c.run.site.Nodes() {
 		d := n.Dump()
 		if !d.Ready {
-			c.run.breach("node %d is not ready: %+v", i, d)
+			c.run.addBreach("node %d is not ready: %+v", i, d)
 		}
 		if i == 0 {
-			first = d.Configuration.Summary
+			firstSummary = d.Configuration.Summary
 			continue
 		}
-		if !d.Configuration.Summary.Same(first) {
-			c.run.breach("node %d holds %v, node 0 %v", i, d.Configuration.Summary, first)
+		if !d.Configuration.Summary.Same(firstSummary) {
+			c.run.addBreach("node %d holds %v, node 0 %v", i, d.Configuration.Summary, firstSummary)
 		}
 	}
 }
--- a/internal/campaign/double.go
+++ b/internal/campaign/duplicate.go
@@ -19,21 +19,21 @@
 	"github.com/wingvale/wingvale/verdict"
 )
 
-// doubled is a request that was sent twice under one id.
-type doubled struct {
+// duplicate is a request that was sent twice under one id.
+type duplicate struct {
 	spec request.Spec
-	// told has what each copy was answered; nil is a connection that broke.
-	told [2]*request.Failed
-	// answers has the whole answers.
+	// failures has the failure of each copy, or nil if it was answered or the connection broke.
+	failures [2]*request.Failed
+	// answers has the complete answer of each copy, or "" if it got none.
 	answers [2]string
 }
 
-// double sends an unrepeatable request to the node that issued its id, and a
-// copy of it to another node later.
-func (r *run) double(ctx context.Context, c *client.Client, spec request.Spec, late time.Duration) {
+// sendDuplicate sends an unrepeatable request to the node that issued its id, and after a delay a
+// copy of it to another node.
+func (r *run) sendDuplicate(ctx context.Context, c *client.Client, spec request.Spec, delay time.Duration) {
 	if spec.Pipeline == "season-review" {
-		// An unrepeatable call to a server that hangs waits for its deadline,
-		// which is after the end of the campaign here.
+		// An unrepeatable call to a server that hangs waits for its deadline, which for this
+		// pipeline is after the end of the campaign.
 		spec.Pipeline, spec.Workspace = "recipe-explanation", "paint-shops-north"
 	}
 	spec.Unrepeatable = true
@@ -45,25 +45,26 @@
 	if err != nil || len(a.IDs) == 0 {
 		return
 	}
-	// The last id: the client itself takes the first ones.
+	// Use the last id, since the client itself uses the first ones.
 	id := a.IDs[len(a.IDs)-1]
-	ctx, cancel := context.WithTimeout(ctx, callFor)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	d := doubled{spec: spec}
-	var both sync.WaitGroup
+	d := duplicate{spec: spec}
+	var copies sync.WaitGroup
 	for i, node := range []netip.AddrPort{nodes[0], nodes[len(nodes)-1]} {
-		both.Go(func() {
-			time.Sleep(time.Duration(i) * late)
-			d.told[i], d.answers[i] = post(ctx, r.site.Transport(), node, id, spec)
+		copies.Go(func() {
+			time.Sleep(time.Duration(i) * delay)
+			d.failures[i], d.answers[i] = post(ctx, r.site.Transport(), node, id, spec)
 		})
 	}
-	both.Wait()
+	copies.Wait()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.doubles = append(r.doubles, d)
+	r.duplicates = append(r.duplicates, d)
 }
 
-// post sends one copy and returns how it ended.
+// post sends one copy of a request to a node and returns its failure or its answer. It returns
+// neither if the connection broke.
 func post(ctx context.Context, rt http.RoundTripper, node netip.AddrPort, id request.ID, spec request.Spec) (*request.Failed, string) {
 	body, err := json.Marshal(spec)
 	if err != nil {
@@ -106,19 +107,19 @@
 	return nil, ""
 }
 
-// checkDouble checks that the copies ran at most once between them, and that
-// one that was told not run was told the truth about both.
-func (r *run) checkDouble(d doubled, arrivals []arrival) {
-	r.checkOnce(record{spec: d.spec}, arrivals)
-	for _, told := range d.told {
-		if told != nil && told.Settled && len(arrivals) > 0 {
-			r.breach("%q was told settled as not run (%s) and ran: %s", d.spec.Input, told.Reason, describe(arrivals))
+// checkDuplicate checks that each stage ran at most once for both copies together, that none ran if
+// a copy was answered as settled and not run, and that both got the same answer.
+func (r *run) checkDuplicate(d duplicate, arrivals []arrival) {
+	r.checkOnce(callRecord{spec: d.spec}, arrivals)
+	for _, failed := range d.failures {
+		if failed != nil && failed.Settled && len(arrivals) > 0 {
+			r.addBreach("%q was told settled as not run (%s) and ran: %s", d.spec.Input, failed.Reason, describe(arrivals))
 		}
-		if told != nil && told.Settled && told.Verdict != verdict.NotRun {
-			r.breach("%q was told settled and %s", d.spec.Input, told.Verdict)
+		if failed != nil && failed.Settled && failed.Verdict != verdict.NotRun {
+			r.addBreach("%q was told settled and %s", d.spec.Input, failed.Verdict)
 		}
 	}
 	if d.answers[0] != "" && d.answers[1] != "" && d.answers[0] != d.answers[1] {
-		r.breach("%q was answered %q and %q", d.spec.Input, d.answers[0], d.answers[1])
+		r.addBreach("%q was answered %q and %q", d.spec.Input, d.answers[0], d.answers[1])
 	}
 }
--- a/internal/campaign/fault.go
+++ b/internal/campaign/fault.go
@@ -15,12 +15,12 @@
 	"github.com/wingvale/wingvale/internal/standin"
 )
 
-// everyFault is the mean time between two faults.
-const everyFault = 700 * time.Millisecond
+// meanFaultInterval is the mean time between two faults.
+const meanFaultInterval = 700 * time.Millisecond
 
-// fault makes one fault, and returns how it ends and after how long. It
-// returns nil where nothing is free to be hurt.
-type fault func(r *run) (end func(), after time.Duration)
+// fault injects a fault. It returns a function that ends the fault, and how long the fault lasts.
+// It returns nil if no target is available.
+type fault func(r *run) (end func(), duration time.Duration)
 
 var faults = map[string]fault{
 	"kill node":         killNode,
@@ -31,12 +31,12 @@
 	"cut callers":       cutCallers,
 	"cut servers":       cutServers,
 	"kill server":       killServer,
-	"server fails":      knob(func(k *standin.Knobs) { k.Fail = 0.5 }),
-	"server hangs":      knob(func(k *standin.Knobs) { k.Hang = 0.3 }),
-	"server mislabels":  knob(func(k *standin.Knobs) { k.Mislabel = 0.5 }),
-	"server cuts":       knob(func(k *standin.Knobs) { k.Cut = 0.7 }),
-	"server refuses":    knob(func(k *standin.Knobs) { k.Refuse = 0.7 }),
-	"server slow":       knob(func(k *standin.Knobs) { k.Slow = 20 }),
+	"server fails":      setKnob(func(k *standin.Knobs) { k.Fail = 0.5 }),
+	"server hangs":      setKnob(func(k *standin.Knobs) { k.Hang = 0.3 }),
+	"server mislabels":  setKnob(func(k *standin.Knobs) { k.Mislabel = 0.5 }),
+	"server cuts":       setKnob(func(k *standin.Knobs) { k.Cut = 0.7 }),
+	"server refuses":    setKnob(func(k *standin.Knobs) { k.Refuse = 0.7 }),
+	"server slow":       setKnob(func(k *standin.Knobs) { k.Slow = 20 }),
 	"server leaves":     serverLeaves,
 	"list says leaving": listLeaves,
 	"platform down":     platformDown,
@@ -49,79 +49,81 @@
 	"model version":     publishVersion,
 }
 
-// Kinds returns the names of all faults.
+// Kinds returns the names of all kinds of faults in alphabetical order.
 func Kinds() []string {
 	return slices.Sorted(maps.Keys(faults))
 }
 
-func (r *run) makeFaults(all *sync.WaitGroup, end time.Time) {
+func (r *run) injectFaults(tasks *sync.WaitGroup, end time.Time) {
 	kinds := Kinds()
 	if r.options.Only != "" {
 		kinds = []string{r.options.Only}
 	}
 	for time.Now().Before(end) {
-		time.Sleep(time.Duration(r.random.ExpFloat64() * float64(everyFault)))
+		time.Sleep(time.Duration(r.random.ExpFloat64() * float64(meanFaultInterval)))
 		kind := kinds[r.random.IntN(len(kinds))]
-		stop, after := faults[kind](r)
-		if stop == nil {
+		endFault, duration := faults[kind](r)
+		if endFault == nil {
 			continue
 		}
 		r.faults[kind]++
-		all.Go(func() {
-			time.Sleep(after)
-			stop()
+		tasks.Go(func() {
+			time.Sleep(duration)
+			endFault()
 		})
 	}
 }
 
-// between returns a random time.
-func (r *run) between(least, most time.Duration) time.Duration {
-	return least + time.Duration(r.random.Int64N(int64(most-least)))
+// randomDuration returns a random duration of at least minimum and less than maximum.
+func (r *run) randomDuration(minimum, maximum time.Duration) time.Duration {
+	return minimum + time.Duration(r.random.Int64N(int64(maximum-minimum)))
 }
 
-// take marks something as hurt, unless it is already.
-func (r *run) take(name string) bool {
+// markFaulty marks a node, pool or service as affected by a fault. It reports false if it already
+// is.
+func (r *run) markFaulty(name string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.busy[name] {
+	if r.faulty[name] {
 		return false
 	}
-	r.busy[name] = true
+	r.faulty[name] = true
 	return true
 }
 
-func (r *run) release(name string) {
+func (r *run) unmarkFaulty(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.busy, name)
+	delete(r.faulty, name)
 }
 
-// hides notes that news may be held back until a time.
-func (r *run) hides(until time.Time) {
+// extendDelays records that a fault may delay the spread of changes until a time.
+func (r *run) extendDelays(until time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if until.After(r.disturbed) {
-		r.disturbed = until
+	if until.After(r.delaysEndAt) {
+		r.delaysEndAt = until
 	}
 }
 
-// pickNode takes a random node that nothing has hold of. Two at least stay
-// whole, so that a majority of faults meets a working site.
+// pickNode picks a random node and marks it as faulty. It reports false if the node already is
+// faulty or if less than three nodes are left without a fault: two nodes must stay healthy, so that
+// most faults affect a working site.
 func (r *run) pickNode() (int, string, bool) {
 	i := r.random.IntN(len(r.site.Nodes()))
 	name := "node " + strconv.Itoa(i)
 	r.mu.Lock()
-	hurt := 0
-	for other := range r.busy {
+	faultyNodes := 0
+	for other := range r.faulty {
 		if len(other) > 4 && other[:4] == "node" {
-			hurt++
+			faultyNodes++
 		}
 	}
 	r.mu.Unlock()
-	if hurt >= len(r.site.Nodes())-2 {
+	if faultyNodes >= len(r.site.Nodes())-2 {
 		return 0, "", false
 	}
-	return i, name, r.take(name)
+	return i, name, r.markFaulty(name)
 }
 
 func killNode(r *run) (func(), time.Duration) {
@@ -129,19 +131,19 @@
 	if !ok {
 		return nil, 0
 	}
-	r.checker.forget(i)
+	r.checker.markDown(i)
 	r.site.KillNode(i)
-	after := r.between(100*time.Millisecond, 10*time.Second)
-	r.hides(time.Now().Add(after))
-	return func() { r.restart(i, name) }, after
+	duration := r.randomDuration(100*time.Millisecond, 10*time.Second)
+	r.extendDelays(time.Now().Add(duration))
+	return func() { r.restartNode(i, name) }, duration
 }
 
-func (r *run) restart(i int, name string) {
+func (r *run) restartNode(i int, name string) {
 	if err := r.site.StartNode(i); err != nil {
-		r.breach("node %d does not start again: %v", i, err)
+		r.addBreach("node %d does not start again: %v", i, err)
 	}
-	r.checker.remember(i)
-	r.release(name)
+	r.checker.markUp(i)
+	r.unmarkFaulty(name)
 }
 
 func stopNode(r *run) (func(), time.Duration) {
@@ -153,9 +155,9 @@
 	n.Stop()
 	return func() {
 		<-n.Done()
-		r.checker.forget(i)
+		r.checker.markDown(i)
 		time.Sleep(time.Second)
-		r.restart(i, name)
+		r.restartNode(i, name)
 	}, time.Millisecond
 }
 
@@ -166,16 +168,16 @@
 	}
 	host := r.site.Nodes()[i].Caller.Addr()
 	r.network.Freeze(host, true)
-	after := r.between(500*time.Millisecond, 12*time.Second)
-	r.hides(time.Now().Add(after))
+	duration := r.randomDuration(500*time.Millisecond, 12*time.Second)
+	r.extendDelays(time.Now().Add(duration))
 	return func() {
 		r.network.Freeze(host, false)
-		r.release(name)
-	}, after
+		r.unmarkFaulty(name)
+	}, duration
 }
 
-// sides splits the nodes in two.
-func (r *run) sides() (a, b []netip.Addr) {
+// randomSides splits the nodes at random into two sides.
+func (r *run) randomSides() (a, b []netip.Addr) {
 	for _, n := range r.site.Nodes() {
 		if r.random.IntN(2) == 0 {
 			a = append(a, n.Caller.Addr())
@@ -186,51 +188,51 @@
 	return a, b
 }
 
-func (r *run) cut(a, b []netip.Addr, both bool, most time.Duration) (func(), time.Duration) {
+func (r *run) cutLinks(a, b []netip.Addr, both bool, maxDuration time.Duration) (func(), time.Duration) {
 	each := func(do func(from, to netip.Addr)) {
-		for _, x := range a {
-			for _, y := range b {
-				do(x, y)
+		for _, from := range a {
+			for _, to := range b {
+				do(from, to)
 				if both {
-					do(y, x)
+					do(to, from)
 				}
 			}
 		}
 	}
 	each(r.network.Cut)
-	after := r.between(500*time.Millisecond, most)
-	r.hides(time.Now().Add(after))
-	return func() { each(r.network.Heal) }, after
+	duration := r.randomDuration(500*time.Millisecond, maxDuration)
+	r.extendDelays(time.Now().Add(duration))
+	return func() { each(r.network.Heal) }, duration
 }
 
 func cutNodes(r *run) (func(), time.Duration) {
-	a, b := r.sides()
-	return r.cut(a, b, true, 15*time.Second)
+	a, b := r.randomSides()
+	return r.cutLinks(a, b, true, 15*time.Second)
 }
 
 func cutOneWay(r *run) (func(), time.Duration) {
-	a, b := r.sides()
-	return r.cut(a, b, false, 10*time.Second)
+	a, b := r.randomSides()
+	return r.cutLinks(a, b, false, 10*time.Second)
 }
 
 func cutCallers(r *run) (func(), time.Duration) {
 	n := r.site.Nodes()[r.random.IntN(len(r.site.Nodes()))]
-	caller, err := harness.Memory{}.Address(60000+r.random.IntN(callers), 0)
+	caller, err := harness.Memory{}.Address(60000+r.random.IntN(callerCount), 0)
 	if err != nil {
 		return nil, 0
 	}
-	return r.cut([]netip.Addr{n.Caller.Addr()}, []netip.Addr{caller.Addr()}, r.random.IntN(2) == 0, 8*time.Second)
+	return r.cutLinks([]netip.Addr{n.Caller.Addr()}, []netip.Addr{caller.Addr()}, r.random.IntN(2) == 0, 8*time.Second)
 }
 
 func cutServers(r *run) (func(), time.Duration) {
 	n := r.site.Nodes()[r.random.IntN(len(r.site.Nodes()))]
 	servers := r.site.Servers("")
 	s := servers[r.random.IntN(len(servers))]
-	return r.cut([]netip.Addr{n.Caller.Addr()}, []netip.Addr{s.Address.Addr()}, r.random.IntN(2) == 0, 6*time.Second)
+	return r.cutLinks([]netip.Addr{n.Caller.Addr()}, []netip.Addr{s.Address.Addr()}, r.random.IntN(2) == 0, 6*time.Second)
 }
 
-// pickServer takes a random server that nothing has hold of, and leaves each
-// pool one that is whole.
+// pickServer picks a random server and marks its pool as faulty. It reports false if the pool
+// already is faulty or has only one server, so that each pool keeps a healthy server.
 func (r *run) pickServer() (*harness.Server, string, bool) {
 	servers := r.site.Servers("")
 	s := servers[r.random.IntN(len(servers))]
@@ -238,7 +240,7 @@
 		return nil, "", false
 	}
 	name := "pool " + s.Pool.Name
-	return s, name, r.take(name)
+	return s, name, r.markFaulty(name)
 }
 
 func killServer(r *run) (func(), time.Duration) {
@@ -249,20 +251,21 @@
 	r.keepArrivals(s)
 	r.site.KillServer(s)
 	return func() {
-		r.renew(s)
-		r.release(name)
-	}, r.between(100*time.Millisecond, 8*time.Second)
+		r.replaceServer(s)
+		r.unmarkFaulty(name)
+	}, r.randomDuration(100*time.Millisecond, 8*time.Second)
 }
 
-// renew starts a server as a new instance, which engines start without models.
-func (r *run) renew(s *harness.Server) {
+// replaceServer starts a server as a new instance. A new instance of an engine starts without
+// models.
+func (r *run) replaceServer(s *harness.Server) {
 	s.Instance += "+"
 	if err := r.site.StartServer(s); err != nil {
-		r.breach("server %s does not start again: %v", s.Instance, err)
+		r.addBreach("server %s does not start again: %v", s.Instance, err)
 	}
 }
 
-func knob(change func(k *standin.Knobs)) fault {
+func setKnob(change func(k *standin.Knobs)) fault {
 	return func(r *run) (func(), time.Duration) {
 		s, name, ok := r.pickServer()
 		if !ok {
@@ -275,13 +278,13 @@
 		})
 		return func() {
 			s.Set(func(k *standin.Knobs) { *k = before })
-			r.release(name)
-		}, r.between(500*time.Millisecond, 8*time.Second)
+			r.unmarkFaulty(name)
+		}, r.randomDuration(500*time.Millisecond, 8*time.Second)
 	}
 }
 
-// serverLeaves makes a server say itself that it is leaving. It ends what it
-// has, goes, and a new instance comes.
+// serverLeaves makes a server report that it is leaving. It completes its work until the
+// end of the fault, when it is killed and replaced by a new instance.
 func serverLeaves(r *run) (func(), time.Duration) {
 	s, name, ok := r.pickServer()
 	if !ok {
@@ -292,12 +295,12 @@
 		r.keepArrivals(s)
 		r.site.KillServer(s)
 		time.Sleep(time.Second)
-		r.renew(s)
-		r.release(name)
-	}, r.between(6*time.Second, 12*time.Second)
+		r.replaceServer(s)
+		r.unmarkFaulty(name)
+	}, r.randomDuration(6*time.Second, 12*time.Second)
 }
 
-// listLeaves makes only the host list say that a server is leaving.
+// listLeaves marks a server as leaving in the host list only.
 func listLeaves(r *run) (func(), time.Duration) {
 	s, name, ok := r.pickServer()
 	if !ok {
@@ -308,17 +311,17 @@
 		return nil, 0
 	}
 	r.mu.Lock()
-	r.listed = append(r.listed, leave{server: s, since: time.Now()})
-	at := len(r.listed) - 1
+	r.listedLeaving = append(r.listedLeaving, listedServer{server: s, listedAt: time.Now()})
+	index := len(r.listedLeaving) - 1
 	r.mu.Unlock()
 	return func() {
 		r.mu.Lock()
-		r.listed[at].until = time.Now()
+		r.listedLeaving[index].unlistedAt = time.Now()
 		r.mu.Unlock()
 		s.Host.Leaving = false
 		if err := r.site.List(s.Host); err != nil {
-			r.breach("list: %v", err)
+			r.addBreach("list: %v", err)
 		}
-		r.release(name)
-	}, r.between(6*time.Second, 14*time.Second)
+		r.unmarkFaulty(name)
+	}, r.randomDuration(6*time.Second, 14*time.Second)
 }
--- a/internal/campaign/publish.go
+++ b/internal/campaign/publish.go
@@ -12,21 +12,21 @@
 )
 
 func platformDown(r *run) (func(), time.Duration) {
-	if !r.take("platform") {
+	if !r.markFaulty("platform") {
 		return nil, 0
 	}
 	r.site.Configuration.SetDown(true)
-	after := r.between(time.Second, 20*time.Second)
-	r.hides(time.Now().Add(after))
+	duration := r.randomDuration(time.Second, 20*time.Second)
+	r.extendDelays(time.Now().Add(duration))
 	return func() {
 		r.site.Configuration.SetDown(false)
-		r.release("platform")
-	}, after
+		r.unmarkFaulty("platform")
+	}, duration
 }
 
-// platformStale shows all readers, or one node, an old revision.
+// platformStale makes the platform show an older revision to all readers or to one node.
 func platformStale(r *run) (func(), time.Duration) {
-	if !r.take("platform") {
+	if !r.markFaulty("platform") {
 		return nil, 0
 	}
 	space := publisher.SpaceConfiguration
@@ -39,36 +39,36 @@
 	}
 	revision := r.site.Configuration.Revision(space)
 	r.site.Configuration.SetStale(space, reader, max(revision-min(revision-1, uint64(r.random.IntN(5))), 1))
-	after := r.between(time.Second, 20*time.Second)
-	r.hides(time.Now().Add(after))
+	duration := r.randomDuration(time.Second, 20*time.Second)
+	r.extendDelays(time.Now().Add(duration))
 	return func() {
 		r.site.Configuration.SetStale(space, reader, 0)
-		r.release("platform")
-	}, after
+		r.unmarkFaulty("platform")
+	}, duration
 }
 
 func listLags(r *run) (func(), time.Duration) {
-	if !r.take("list lag") {
+	if !r.markFaulty("list lag") {
 		return nil, 0
 	}
-	r.site.Configuration.SetHostLag(r.between(500*time.Millisecond, 10*time.Second))
-	after := r.between(time.Second, 15*time.Second)
-	r.hides(time.Now().Add(after + 10*time.Second))
+	r.site.Configuration.SetHostLag(r.randomDuration(500*time.Millisecond, 10*time.Second))
+	duration := r.randomDuration(time.Second, 15*time.Second)
+	r.extendDelays(time.Now().Add(duration + 10*time.Second))
 	return func() {
 		r.site.Configuration.SetHostLag(0)
-		r.release("list lag")
-	}, after
+		r.unmarkFaulty("list lag")
+	}, duration
 }
 
-// changing is the workspace whose weight changes; no request depends on it.
-const changing = "workspaces/training"
+// changingKey is the workspace whose weight changes. No request depends on it.
+const changingKey = "workspaces/training"
 
 func changeValue(weight int) string {
 	return fmt.Sprintf(`{"format":1,"name":"training","customer":"farbwerk","weight":%d,"pipelines":{"shade-match":{}}}`, weight)
 }
 
 func (r *run) publish(value string) (func(), time.Duration) {
-	r.site.Configuration.Publish(publisher.SpaceConfiguration, changing, value)
+	r.site.Configuration.Publish(publisher.SpaceConfiguration, changingKey, value)
 	return func() {}, time.Millisecond
 }
 
@@ -81,15 +81,14 @@
 }
 
 func publishRemoval(r *run) (func(), time.Duration) {
-	r.site.Configuration.Remove(publisher.SpaceConfiguration, changing)
+	r.site.Configuration.Remove(publisher.SpaceConfiguration, changingKey)
 	return func() {}, time.Millisecond
 }
 
-// modelKey is the model that the engines hold.
+// modelKey is the key of the model that the engines load.
 const modelKey = "models/colour-guide"
 
-// publishVersion publishes the next version of the model, which every engine
-// is to load.
+// publishVersion publishes the next version of the model, which all engines have to load.
 func publishVersion(r *run) (func(), time.Duration) {
 	r.version++
 	value := fmt.Sprintf(`{"format":1,"name":"colour-guide","version":"v%d","pool":"language-models","bytes":16000000000,"replicas":8}`, r.version)
@@ -97,10 +96,10 @@
 	return func() {}, time.Millisecond
 }
 
-// publishFork shows one node other bytes than the rest under one revision.
+// publishFork publishes a revision with another value for one node than for the others.
 func publishFork(r *run) (func(), time.Duration) {
 	n := r.site.Nodes()[r.random.IntN(len(r.site.Nodes()))]
 	revision := r.site.Configuration.Revision(publisher.SpaceConfiguration) + 1
-	r.site.Configuration.Fork(n.Caller.Addr(), changing, revision, changeValue(500))
+	r.site.Configuration.Fork(n.Caller.Addr(), changingKey, revision, changeValue(500))
 	return r.publish(changeValue(1 + r.random.IntN(400)))
 }
