--- a/internal/campaign/fault.go
+++ b/internal/campaign/fault.go
@@ -190,11 +190,11 @@
 
 func (r *run) cutLinks(a, b []netip.Addr, both bool, maxDuration time.Duration) (func(), time.Duration) {
 	each := func(do func(from, to netip.Addr)) {
-		for _, from := range a {
-			for _, to := range b {
-				do(from, to)
+		for _, fromHost := range a {
+			for _, toHost := range b {
+				do(fromHost, toHost)
 				if both {
-					do(to, from)
+					do(toHost, fromHost)
 				}
 			}
 		}
