--- a/client/client.go
+++ b/client/client.go
@@ -139,7 +139,7 @@
 	defer c.mu.Unlock()
 	if len(a.Addresses) > 0 {
 		c.addresses = slices.Clone(a.Addresses)
-		c.addressesExpireAt = time.Now().Add(a.Hold.Std())
+		c.addressesExpireAt = time.Now().Add(a.TTL.Std())
 	}
 	if len(a.IDs) > 0 {
 		c.ids[node] = idBlock{ids: a.IDs, expiresAt: time.Now().Add(a.IDsValid.Std() / 2)}
--- a/internal/backend/client.go
+++ b/internal/backend/client.go
@@ -140,7 +140,7 @@
 		v, reason = verdict.NotRun, verdict.ReasonRefused
 	}
 	e := verdict.New(v, reason, "backend: status %d: %.200s", response.StatusCode, body.Error)
-	return e.After(body.RetryAfter.Std())
+	return e.WithRetryAfter(body.RetryAfter.Std())
 }
 
 const maxDrainBytes = 64 << 10
--- a/internal/backend/conn_test.go
+++ b/internal/backend/conn_test.go
@@ -97,7 +97,7 @@
 }
 
 func TestStageNeverResendsNorMisreportsNotRun(t *testing.T) {
-	other := request.Issue(request.Key{1}, server, 9, 9, 0).String()
+	other := request.IssueID(request.Key{1}, server, 9, 9, 0).String()
 	cases := []struct {
 		name   string
 		before func(net.Conn)
@@ -177,7 +177,7 @@
 		client.Close()
 		network.Kill(server.Addr())
 	}()
-	id := request.Issue(request.Key{1}, server, 1, 1, 0)
+	id := request.IssueID(request.Key{1}, server, 1, 1, 0)
 	call := backend.Call{Server: server, Request: id, Stage: "a", Attempt: 1}
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
@@ -193,7 +193,7 @@
 func TestStageIsNotRunIfNothingListens(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client := backend.New(memnet.New(nil).Dialer(caller))
-		call := backend.Call{Server: server, Request: request.Issue(request.Key{1}, server, 1, 1, 0), Stage: "a", Attempt: 1}
+		call := backend.Call{Server: server, Request: request.IssueID(request.Key{1}, server, 1, 1, 0), Stage: "a", Attempt: 1}
 		_, _, err := client.Stage(t.Context(), call, protocol.StageCall{})
 		assert.Equal(t, verdict.Of(err), verdict.NotRun)
 	})
--- a/internal/campaign/campaign.go
+++ b/internal/campaign/campaign.go
@@ -139,9 +139,9 @@
 		Seed:       o.Seed,
 		Scope:      r.scope,
 		Settings: func(s *settings.Settings) {
-			s.Announce = time.Second
-			s.Drain = 3 * time.Second
-			s.Hold = 10 * time.Second
+			s.AnnouncePeriod = time.Second
+			s.DrainTimeout = 3 * time.Second
+			s.AnswerTTL = 10 * time.Second
 		},
 	})
 	if err != nil {
@@ -283,6 +283,6 @@
 	if h.err == nil {
 		return kind + " answered"
 	}
-	failed := request.FailedOf(h.err)
+	failed := request.NewFailed(h.err)
 	return strings.Join([]string{kind, failed.Verdict.String(), string(failed.Reason)}, " ")
 }
--- a/internal/campaign/check.go
+++ b/internal/campaign/check.go
@@ -148,7 +148,7 @@
 		}
 		last = version
 	}
-	want := protocol.Loaded{Model: "colour-guide", Version: fmt.Sprintf("v%d", r.version), Ready: true}
+	want := protocol.LoadedModel{Model: "colour-guide", Version: fmt.Sprintf("v%d", r.version), Ready: true}
 	for _, l := range s.Engine.State().Models {
 		if l.Model == want.Model && l.Version == want.Version && l.Ready {
 			return
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -181,6 +181,6 @@
 // measureLeaving tells one node that a server is leaving and waits until all nodes know it.
 func measureLeaving(s *harness.Site) (time.Duration, error) {
 	server := s.Servers("")[0]
-	s.Nodes()[0].NoteLeaving(server.Address, server.Instance)
+	s.Nodes()[0].MarkServerLeaving(server.Address, server.Instance)
 	return awaitAll(s, func(n *harness.Node) bool { return len(n.Dump().LeavingHosts) > 0 })
 }
--- a/internal/command/demo.go
+++ b/internal/command/demo.go
@@ -108,7 +108,7 @@
 			return standin.Knobs{Work: 5 * time.Millisecond, Jitter: 0.3}
 		},
 		Token:    3 * time.Millisecond,
-		Settings: func(s *settings.Settings) { s.Announce = time.Second },
+		Settings: func(s *settings.Settings) { s.AnnouncePeriod = time.Second },
 	})
 	if err != nil {
 		return err
--- a/internal/command/request.go
+++ b/internal/command/request.go
@@ -76,7 +76,7 @@
 // reportFailure prints a failed request as JSON if f asks for it, and returns the error to show.
 func (o *output) reportFailure(f format, answer client.Answer, err error) error {
 	if f.json() {
-		failed := request.FailedOf(err)
+		failed := request.NewFailed(err)
 		failed.Costs = answer.Costs
 		_ = o.printJSON(failed)
 	}
@@ -110,7 +110,7 @@
 	for _, address := range a.Addresses {
 		o.printf("%s\n", address)
 	}
-	o.printf("hold for %v; configuration revision %d\n", a.Hold.Std(), a.Revision)
+	o.printf("hold for %v; configuration revision %d\n", a.TTL.Std(), a.Revision)
 	return nil
 }
 
--- a/internal/command/standin.go
+++ b/internal/command/standin.go
@@ -38,8 +38,8 @@
 	running, err := harness.New(harness.Options{
 		Site:    site,
 		Network: harness.Loopback{},
-		Token:   s.Token,
-		Knobs:   func(sites.Pool) standin.Knobs { return standin.Knobs{Work: s.Work, Fail: s.Fail} },
+		Token:   s.TokenInterval,
+		Knobs:   func(sites.Pool) standin.Knobs { return standin.Knobs{Work: s.CallTime, Fail: s.FailShare} },
 	})
 	if err != nil {
 		return err
@@ -80,7 +80,7 @@
 		} {
 			file.Section(kv[0]).Key(kv[1]).SetValue(kv[2])
 		}
-		path := filepath.Join(s.Folder, fmt.Sprintf("node-%d.ini", i+1))
+		path := filepath.Join(s.SettingsFolder, fmt.Sprintf("node-%d.ini", i+1))
 		if err := file.SaveTo(path); err != nil {
 			return fmt.Errorf("%s: %w", path, err)
 		}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -31,8 +31,8 @@
 	metricsPrefix  = "wingvale"
 )
 
-// Logger returns a logger configured by the settings.
-func Logger(s settings.Settings, out io.Writer) *logrus.Logger {
+// NewLogger returns a logger configured by the settings.
+func NewLogger(s settings.Settings, out io.Writer) *logrus.Logger {
 	log := logrus.New()
 	log.SetOutput(out)
 	log.SetLevel(s.LogLevel)
@@ -45,7 +45,7 @@
 // Run runs a node until SIGTERM or SIGINT has stopped it gracefully, or a second signal has
 // stopped it at once.
 func Run(s settings.Settings, out io.Writer) error {
-	log := Logger(s, out)
+	log := NewLogger(s, out)
 	callers, err := listen(s.Caller)
 	if err != nil {
 		return err
@@ -54,7 +54,7 @@
 	if err != nil {
 		return err
 	}
-	scope, metricsHandler, closer := Metrics()
+	scope, metricsHandler, closer := NewMetrics()
 	defer func() { _ = closer.Close() }()
 	n := node.New(node.Options{
 		Settings:       s,
@@ -73,9 +73,9 @@
 	return n.Run(ctx)
 }
 
-// Metrics returns a metrics scope and the handler that serves it to a scraper. The closer must
+// NewMetrics returns a metrics scope and the handler that serves it to a scraper. The closer must
 // be closed.
-func Metrics() (tally.Scope, http.Handler, io.Closer) {
+func NewMetrics() (tally.Scope, http.Handler, io.Closer) {
 	registry := prometheus.NewRegistry()
 	reporter := tallyprometheus.NewReporter(tallyprometheus.Options{
 		Registerer:       registry,
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -18,7 +18,7 @@
 // TestMetricsCanBeScraped guards against a registry that refuses one of tally's own metric
 // names, which terminated the daemon when it started.
 func TestMetricsCanBeScraped(t *testing.T) {
-	scope, metricsHandler, closer := daemon.Metrics()
+	scope, metricsHandler, closer := daemon.NewMetrics()
 	scope.Tagged(map[string]string{"verdict": "not_run", "reason": "overload"}).Counter("refusals").Inc(3)
 	scope.SubScope("peer").Counter("heartbeats").Inc(1)
 	scope.Tagged(map[string]string{"stage": "encode"}).Timer("stage").Record(time.Millisecond)
--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -40,8 +40,8 @@
 
 // limitMemory sets the memory limit of the runtime from the settings.
 func limitMemory(s settings.Gateway) {
-	if s.Memory > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * s.Memory * bytesPerMegabyte))
+	if s.MemoryMB > 0 {
+		debug.SetMemoryLimit(int64(memoryShare * s.MemoryMB * bytesPerMegabyte))
 	}
 }
 
@@ -50,14 +50,14 @@
 // RunGateway runs a node on the users' platform until SIGTERM or SIGINT has stopped it
 // gracefully; SIGINT during that stops it at once. SIGHUP reloads the settings.
 func RunGateway(path string, s settings.Gateway, out io.Writer) error {
-	lines := logging.NewWriter(out, logging.DefaultLines)
+	lines := logging.NewWriter(out, logging.DefaultMaxLines)
 	defer flush(lines)
 	log := logrus.New()
 	log.SetOutput(lines)
 	log.SetLevel(s.LogLevel)
 	limitMemory(s)
 	log.SetFormatter(&logrus.JSONFormatter{TimestampFormat: "15:04:05.000"})
-	scope, metricsHandler, closer := Metrics()
+	scope, metricsHandler, closer := NewMetrics()
 	defer func() { _ = closer.Close() }()
 	dialer := &net.Dialer{
 		Control:         setUserTimeout,
--- a/internal/daemon/memory_test.go
+++ b/internal/daemon/memory_test.go
@@ -18,6 +18,6 @@
 	defer debug.SetMemoryLimit(before)
 	daemon.LimitMemory(settings.Gateway{})
 	assert.Equal(t, debug.SetMemoryLimit(-1), before, "no limit is set")
-	daemon.LimitMemory(settings.Gateway{Memory: 200})
+	daemon.LimitMemory(settings.Gateway{MemoryMB: 200})
 	assert.Equal(t, debug.SetMemoryLimit(-1), int64(140<<20))
 }
--- a/internal/gateway/components.go
+++ b/internal/gateway/components.go
@@ -32,7 +32,7 @@
 		Random:   childRandom(n.random),
 		Listed:   func(netip.AddrPort) bool { return true },
 		Accepted: func(peerpb.Space, []published.Entry) { n.refresh() },
-		Link:     n.settings.Link * bytesPerMegabit,
+		Link:     n.settings.LinkMbps * bytesPerMegabit,
 		Confirm:  func(ctx context.Context, space peerpb.Space) bool { return n.confirmer.confirmForPeer(ctx, space) },
 		Suspects: n.suspects,
 		Leaving:  n.peerReportedLeaving,
--- a/internal/gateway/evacuation.go
+++ b/internal/gateway/evacuation.go
@@ -16,8 +16,8 @@
 // an availability zone whose backend servers must get no requests. Exactly one of the two is
 // set.
 type Directive struct {
-	Catalog   *relay.Catalog
-	Evacuated string
+	Catalog       *relay.Catalog
+	EvacuatedZone string
 }
 
 // evacuation tracks the evacuated availability zones. Their servers get no new requests as
@@ -32,8 +32,8 @@
 func (e *evacuation) setZones(directives map[string]Directive, log logrus.FieldLogger) bool {
 	zones := make(map[string]bool)
 	for _, d := range directives {
-		if d.Evacuated != "" {
-			zones[d.Evacuated] = true
+		if d.EvacuatedZone != "" {
+			zones[d.EvacuatedZone] = true
 		}
 	}
 	if maps.Equal(zones, e.zones) {
--- a/internal/gateway/node.go
+++ b/internal/gateway/node.go
@@ -183,10 +183,10 @@
 
 // capacityOf returns how many large pools a host could own; 0 if its settings do not say.
 func capacityOf(s settings.Gateway) int {
-	if s.Link == 0 || s.Cores == 0 {
+	if s.LinkMbps == 0 || s.Cores == 0 {
 		return 0
 	}
-	pools := min(s.Link/poolLinkMbps, s.Cores/poolCores)
+	pools := min(s.LinkMbps/poolLinkMbps, s.Cores/poolCores)
 	return int(min(max(pools, 1), fleet.MaxCapacity))
 }
 
--- a/internal/gateway/refresh.go
+++ b/internal/gateway/refresh.go
@@ -224,5 +224,5 @@
 	if rate <= 0 {
 		return 0
 	}
-	return rate*n.settings.ColdOver + n.settings.ColdSlack
+	return rate*n.settings.ColdFactor + n.settings.ColdSlack
 }
--- a/internal/harness/latency_test.go
+++ b/internal/harness/latency_test.go
@@ -84,7 +84,7 @@
 }
 
 func callStagesDirectly(ctx context.Context, s *harness.Site, backendClient *backend.Client, input string) error {
-	id := request.Issue(request.Key{}, s.Nodes()[0].Caller, 1, 1, 0)
+	id := request.IssueID(request.Key{}, s.Nodes()[0].Caller, 1, 1, 0)
 	var previous json.RawMessage
 	for _, stage := range []string{"encode", "retrieve", "rerank"} {
 		pool := map[string]string{"encode": "encoders", "retrieve": "retrievers", "rerank": "rerankers"}[stage]
--- a/internal/harness/server.go
+++ b/internal/harness/server.go
@@ -110,7 +110,7 @@
 	}
 	values, _ := s.options.Site.Values()
 	for key := range values {
-		var model protocol.Loaded
+		var model protocol.LoadedModel
 		var value struct {
 			Version  string   `json:"version"`
 			Adapters []string `json:"adapters"`
@@ -118,7 +118,7 @@
 			Name     string   `json:"name"`
 		}
 		if json.Unmarshal([]byte(values[key]), &value) == nil && value.Bytes > 0 {
-			model = protocol.Loaded{Model: value.Name, Version: value.Version, Adapters: value.Adapters, Ready: true}
+			model = protocol.LoadedModel{Model: value.Name, Version: value.Version, Adapters: value.Adapters, Ready: true}
 			e.Models = append(e.Models, model)
 		}
 	}
--- a/internal/logging/writer.go
+++ b/internal/logging/writer.go
@@ -11,9 +11,9 @@
 	"sync"
 )
 
-// DefaultLines limits the queued lines; at some 300 bytes a line they use less than half a
+// DefaultMaxLines limits the queued lines; at some 300 bytes a line they use less than half a
 // megabyte.
-const DefaultLines = 1024
+const DefaultMaxLines = 1024
 
 // Writer is an io.Writer for whole lines that never blocks. Close must be called once.
 type Writer struct {
--- a/internal/node/callers.go
+++ b/internal/node/callers.go
@@ -121,7 +121,7 @@
 		return verdict.New(verdict.NotRun, verdict.ReasonLeaving, "node: this host is leaving")
 	}
 	if !n.ready.canAdmit() {
-		return verdict.New(verdict.NotRun, verdict.ReasonNotReady, "node: not ready").After(time.Second)
+		return verdict.New(verdict.NotRun, verdict.ReasonNotReady, "node: not ready").WithRetryAfter(time.Second)
 	}
 	return nil
 }
@@ -319,7 +319,7 @@
 // refuse answers the request with err. If another host or a fresh id helps, the answer
 // includes them.
 func (n *Node) refuse(w http.ResponseWriter, err error) {
-	failed := request.FailedOf(err)
+	failed := request.NewFailed(err)
 	status, ok := statusByReason[failed.Reason]
 	if !ok {
 		status = http.StatusInternalServerError
@@ -340,7 +340,7 @@
 func (n *Node) addresses(zone string, ids int) request.Addresses {
 	a := request.Addresses{
 		Addresses: n.entries(zone),
-		Hold:      pipeline.Duration(n.settings.Hold),
+		TTL:       pipeline.Duration(n.settings.AnswerTTL),
 		IDsValid:  pipeline.Duration(n.table.IDsValid()),
 		Revision:  n.configuration.Summary().Revision,
 		IDs:       []request.ID{},
--- a/internal/node/execute.go
+++ b/internal/node/execute.go
@@ -102,9 +102,9 @@
 
 // runStage runs one stage, with as many retries as the rules and the deadline allow.
 func (n *Node) runStage(ctx context.Context, j *job, s *step, last bool) (json.RawMessage, error) {
-	if s.Share > 0 {
+	if s.DeadlineShare > 0 {
 		var cancel context.CancelFunc
-		limit := time.Duration(s.Share * float64(j.deadline.Sub(j.startedAt)))
+		limit := time.Duration(s.DeadlineShare * float64(j.deadline.Sub(j.startedAt)))
 		ctx, cancel = context.WithTimeoutCause(ctx, limit, errDeadline)
 		defer cancel()
 	}
@@ -230,7 +230,7 @@
 		n.pools.recordReport(g.Server)
 	}
 	if report.Known && report.Load.Leaving {
-		n.NoteLeaving(g.Server, report.Load.Instance)
+		n.MarkServerLeaving(g.Server, report.Load.Instance)
 	}
 	tags := map[string]string{"stage": s.Name, "pool": s.Pool, "verdict": verdict.Of(err).String()}
 	n.scope.Tagged(tags).Timer("stage").Record(work)
@@ -318,7 +318,7 @@
 		err = endedBy(cause, j.sent)
 	}
 	own := n.table.Issued(j.run.ID)
-	failed := request.FailedOf(err)
+	failed := request.NewFailed(err)
 	if failed.Reason == verdict.ReasonConnection {
 		// The failed connection is that to a backend server, not the caller's.
 		failed.Reason = verdict.ReasonServerFailed
--- a/internal/node/forward.go
+++ b/internal/node/forward.go
@@ -108,7 +108,7 @@
 		e = *verdict.AfterSend(&e)
 	}
 	e.Settled = own && e.Verdict == verdict.NotRun
-	n.endRun(run, request.FailedOf(&e))
+	n.endRun(run, request.NewFailed(&e))
 	if own {
 		n.table.Refuse(run, e.Verdict, e.Reason)
 	} else {
@@ -122,7 +122,7 @@
 		return nil, err
 	}
 	if int(n.running.Load()) >= n.settings.MaxRunning {
-		return nil, verdict.New(verdict.NotRun, verdict.ReasonOverload, "node: %d requests run already", n.settings.MaxRunning).After(n.jitter(minRetryAfter))
+		return nil, verdict.New(verdict.NotRun, verdict.ReasonOverload, "node: %d requests run already", n.settings.MaxRunning).WithRetryAfter(n.jitter(minRetryAfter))
 	}
 	p, err := n.newPlan(spec)
 	if err != nil {
--- a/internal/node/operator.go
+++ b/internal/node/operator.go
@@ -44,10 +44,10 @@
 
 // OrderState counts the orders that the node sent to engines, by outcome.
 type OrderState struct {
-	Taken   int    `json:"taken"`
-	Refused int    `json:"refused"`
-	Failed  int    `json:"failed"`
-	Last    string `json:"last,omitempty"`
+	Accepted int    `json:"taken"`
+	Refused  int    `json:"refused"`
+	Failed   int    `json:"failed"`
+	Last     string `json:"last,omitempty"`
 }
 
 // Dump returns the state of the node, with each list truncated to dumpLimit.
@@ -82,7 +82,7 @@
 func (p *placer) state() OrderState {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return OrderState{Taken: p.accepted, Refused: p.refused, Failed: p.failed, Last: p.lastOrder}
+	return OrderState{Accepted: p.accepted, Refused: p.refused, Failed: p.failed, Last: p.lastOrder}
 }
 
 func (n *Node) operatorHandler() http.Handler {
--- a/internal/node/plan.go
+++ b/internal/node/plan.go
@@ -139,11 +139,11 @@
 	total := time.Duration(0)
 	for _, s := range p.steps[p.start:] {
 		if s.pool == nil {
-			return verdict.New(verdict.NotRun, verdict.ReasonNoServer, "node: no backend server of pool %s is listed", s.Pool).After(time.Second)
+			return verdict.New(verdict.NotRun, verdict.ReasonNoServer, "node: no backend server of pool %s is listed", s.Pool).WithRetryAfter(time.Second)
 		}
 		f := s.pool.Predict(p.workspace.Name, p.workspace.Weight, s.Model, s.expected.Mean)
 		if f.Share == 0 {
-			return verdict.New(verdict.NotRun, verdict.ReasonNoServer, "node: no backend server of pool %s can serve stage %s", s.Pool, s.Name).After(time.Second)
+			return verdict.New(verdict.NotRun, verdict.ReasonNoServer, "node: no backend server of pool %s can serve stage %s", s.Pool, s.Name).WithRetryAfter(time.Second)
 		}
 		total = max(total, f.Wait) + s.expected.Mean
 	}
@@ -156,7 +156,7 @@
 		return nil
 	}
 	retryAfter := min(max(total-available, minRetryAfter), maxRetryAfter)
-	return verdict.New(verdict.NotRun, verdict.ReasonOverload, "node: would take %v of %v", total.Round(time.Millisecond), available.Round(time.Millisecond)).After(n.jitter(retryAfter))
+	return verdict.New(verdict.NotRun, verdict.ReasonOverload, "node: would take %v of %v", total.Round(time.Millisecond), available.Round(time.Millisecond)).WithRetryAfter(n.jitter(retryAfter))
 }
 
 // probeInterval is the minimum age of an estimate that a request may be admitted against as a
--- a/internal/node/pools.go
+++ b/internal/node/pools.go
@@ -167,10 +167,10 @@
 // many as the subsets imply for a large one.
 func (p *pools) sharers(used int) int {
 	nodes := len(p.node.liveNodes())
-	if used < p.node.settings.Subset {
+	if used < p.node.settings.MaxPoolServers {
 		return nodes
 	}
-	return max(nodes*p.node.settings.Subset/max(used, 1), 1)
+	return max(nodes*p.node.settings.MaxPoolServers/max(used, 1), 1)
 }
 
 func (p *pools) options(name string) dispatch.Options {
@@ -189,7 +189,7 @@
 // removed server affects few nodes.
 func (p *pools) subset(hosts []published.Host) []published.Host {
 	slices.SortFunc(hosts, func(a, b published.Host) int { return a.Address.Compare(b.Address) })
-	count := p.node.settings.Subset
+	count := p.node.settings.MaxPoolServers
 	if len(hosts) <= count {
 		return hosts
 	}
@@ -361,7 +361,7 @@
 // observe applies the load report of a server.
 func (p *pools) observe(h published.Host, load protocol.Load, models map[string]bool) {
 	if load.Leaving {
-		p.node.NoteLeaving(h.Address, load.Instance)
+		p.node.MarkServerLeaving(h.Address, load.Instance)
 	}
 	if pool := p.get(h.Pool); pool != nil {
 		pool.Observe(h.Address, load, models)
@@ -376,9 +376,9 @@
 	return s.EngineState, s.answeredAt, ok && s.Instance != ""
 }
 
-// NoteLeaving records that a backend server is leaving; the next heartbeats spread it to the
+// MarkServerLeaving records that a backend server is leaving; the next heartbeats spread it to the
 // whole fleet.
-func (n *Node) NoteLeaving(address netip.AddrPort, instance string) {
+func (n *Node) MarkServerLeaving(address netip.AddrPort, instance string) {
 	if n.view.MarkLeaving(time.Now(), fleet.LeavingServer{Address: address, Instance: instance}) {
 		n.log.WithField("server", address).Info("backend server is leaving")
 		n.pools.refresh()
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -23,14 +23,14 @@
 
 // drain is the graceful stop. It announces the leave first, keeps serving callers with old
 // addresses for a while, then admits nothing more and waits for the running requests: for all
-// of them until Drain has passed, then for those that cannot move.
+// of them until DrainTimeout has passed, then for those that cannot move.
 func (n *Node) drain(ctx context.Context) {
 	n.log.Info("leaving")
 	n.view.Leave()
 	n.gossip.Announce(ctx, announceFanout)
-	sleep(ctx, n.settings.Announce)
+	sleep(ctx, n.settings.AnnouncePeriod)
 	n.refusingNew.Store(true)
-	drainCtx, cancel := context.WithTimeout(ctx, n.settings.Drain)
+	drainCtx, cancel := context.WithTimeout(ctx, n.settings.DrainTimeout)
 	defer cancel()
 	awaitEmpty(drainCtx, n.table)
 	for _, run := range n.table.Running() {
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -89,7 +89,7 @@
 	return l != nil && l.Ready
 }
 
-func findLoaded(e Engine, model string) *protocol.Loaded {
+func findLoaded(e Engine, model string) *protocol.LoadedModel {
 	for i := range e.Models {
 		if e.Models[i].Model == model {
 			return &e.Models[i]
@@ -136,7 +136,7 @@
 }
 
 func isLoading(e Engine) bool {
-	return slices.ContainsFunc(e.Models, func(l protocol.Loaded) bool { return !l.Ready })
+	return slices.ContainsFunc(e.Models, func(l protocol.LoadedModel) bool { return !l.Ready })
 }
 
 // needsLoad reports whether the engine lacks the model or one of its adapters, or has another
--- a/internal/place/place_test.go
+++ b/internal/place/place_test.go
@@ -36,7 +36,7 @@
 	assert.Equal(t, len(steps), 2, "got %v", steps)
 	loading := engines(10, func(i int, e *place.Engine) {
 		if i < 2 {
-			e.Models = []protocol.Loaded{{Model: "m", Version: "v1"}}
+			e.Models = []protocol.LoadedModel{{Model: "m", Version: "v1"}}
 		}
 	})
 	assert.Equal(t, len(place.Steps([]pipeline.Model{model("m", 50, 8)}, loading)), 0, "two loads are in progress")
@@ -57,7 +57,7 @@
 	holders := func(load int) []place.Engine {
 		return engines(10, func(i int, e *place.Engine) {
 			if i < 4 {
-				e.Models = []protocol.Loaded{{Model: "m", Version: "v1", Ready: true}}
+				e.Models = []protocol.LoadedModel{{Model: "m", Version: "v1", Ready: true}}
 				e.Running = load
 			}
 		})
@@ -70,7 +70,7 @@
 
 func TestUnneededModelIsUnloadedToFreeMemory(t *testing.T) {
 	list := engines(1, func(_ int, e *place.Engine) {
-		e.Models = []protocol.Loaded{{Model: "old", Version: "v1", Ready: true}}
+		e.Models = []protocol.LoadedModel{{Model: "old", Version: "v1", Ready: true}}
 		e.UsedBytes = 80
 	})
 	steps := place.Steps([]pipeline.Model{model("new", 50, 1)}, list)
--- a/internal/protocol/engine.go
+++ b/internal/protocol/engine.go
@@ -12,13 +12,13 @@
 
 // EngineState is the full load report of an engine.
 type EngineState struct {
-	Instance string   `json:"instance"`
-	Running  int      `json:"running"`
-	Waiting  int      `json:"waiting"`
-	Slots    int      `json:"slots"`
-	Leaving  bool     `json:"leaving"`
-	Models   []Loaded `json:"models,omitempty"`
-	Role     string   `json:"role,omitempty"`
+	Instance string        `json:"instance"`
+	Running  int           `json:"running"`
+	Waiting  int           `json:"waiting"`
+	Slots    int           `json:"slots"`
+	Leaving  bool          `json:"leaving"`
+	Models   []LoadedModel `json:"models,omitempty"`
+	Role     string        `json:"role,omitempty"`
 	// Fence is the highest fence that the engine has accepted.
 	Fence uint64 `json:"fence"`
 	// MemoryBytes is the memory for all models, and UsedBytes what they use of it.
@@ -26,8 +26,8 @@
 	UsedBytes   int64 `json:"used_bytes,omitempty"`
 }
 
-// Loaded is one model that an engine has loaded or is loading.
-type Loaded struct {
+// LoadedModel is one model that an engine has loaded or is loading.
+type LoadedModel struct {
 	Model    string   `json:"model"`
 	Version  string   `json:"version"`
 	Adapters []string `json:"adapters,omitempty"`
--- a/internal/relay/drain.go
+++ b/internal/relay/drain.go
@@ -117,7 +117,7 @@
 	if j.possibleRuns() > 0 {
 		v = verdict.Unknown
 	}
-	return verdict.New(v, verdict.ReasonLeaving, "relay: this host leaves; another may serve it").After(drainRetryAfter)
+	return verdict.New(v, verdict.ReasonLeaving, "relay: this host leaves; another may serve it").WithRetryAfter(drainRetryAfter)
 }
 
 // recordDurations records how long an answered request took.
--- a/internal/relay/serve.go
+++ b/internal/relay/serve.go
@@ -195,13 +195,13 @@
 func (c *Core) admit(ctx context.Context, r *Request) (*job, error) {
 	catalog := c.awaitCatalog(ctx)
 	if catalog == nil {
-		return nil, verdict.New(verdict.NotRun, verdict.ReasonNotReady, "relay: no configuration yet").After(notReadyRetryAfter)
+		return nil, verdict.New(verdict.NotRun, verdict.ReasonNotReady, "relay: no configuration yet").WithRetryAfter(notReadyRetryAfter)
 	}
 	route, workspace, refusal := catalog.authorise(r)
 	if refusal != nil {
 		// A route or key that is unknown here may already be in force elsewhere.
 		if !c.options.Confirm(ctx) {
-			return nil, verdict.New(verdict.NotRun, verdict.ReasonNotReady, "relay: cannot confirm the configuration: %w", refusal).After(minRetryAfter)
+			return nil, verdict.New(verdict.NotRun, verdict.ReasonNotReady, "relay: cannot confirm the configuration: %w", refusal).WithRetryAfter(minRetryAfter)
 		}
 		catalog = c.catalog.Load()
 		if route, workspace, refusal = catalog.authorise(r); refusal != nil {
@@ -211,11 +211,11 @@
 	j := &job{Request: r, core: c, route: route, workspace: workspace, catalog: catalog}
 	j.service = catalog.Service(route.pickTarget(c.randomFloat()))
 	if j.service == nil {
-		return nil, verdict.New(verdict.NotRun, verdict.ReasonNoServer, "relay: route %s names no known service", route.Name).After(minRetryAfter)
+		return nil, verdict.New(verdict.NotRun, verdict.ReasonNoServer, "relay: route %s names no known service", route.Name).WithRetryAfter(minRetryAfter)
 	}
 	var anywhere bool
 	if j.regions, anywhere = route.AllowedRegions.intersect(workspace.AllowedRegions); !anywhere {
-		return nil, verdict.New(verdict.NotRun, verdict.ReasonNoServer, "relay: route %s and workspace %s share no home", route.Name, workspace.Name).After(notReadyRetryAfter)
+		return nil, verdict.New(verdict.NotRun, verdict.ReasonNoServer, "relay: route %s and workspace %s share no home", route.Name, workspace.Name).WithRetryAfter(notReadyRetryAfter)
 	}
 	held := route.Timeout
 	if r.CallerTimeout > 0 {
@@ -333,7 +333,7 @@
 // deadlineError returns the error at the deadline: not run if nothing was sent.
 func (j *job) deadlineError() error {
 	if j.possibleRuns() == 0 {
-		return verdict.New(verdict.NotRun, ReasonTimeout, "relay: not started within %v", j.deadline.Sub(j.Arrived)).After(minRetryAfter)
+		return verdict.New(verdict.NotRun, ReasonTimeout, "relay: not started within %v", j.deadline.Sub(j.Arrived)).WithRetryAfter(minRetryAfter)
 	}
 	return verdict.New(verdict.Unknown, ReasonTimeout, "relay: no answer within %v", j.deadline.Sub(j.Arrived))
 }
@@ -344,5 +344,5 @@
 	if j.possibleRuns() > 0 {
 		v = verdict.Unknown
 	}
-	return verdict.New(v, reason, "relay: %s", fmt.Sprintf(format, args...)).After(max(after, minRetryAfter))
+	return verdict.New(v, reason, "relay: %s", fmt.Sprintf(format, args...)).WithRetryAfter(max(after, minRetryAfter))
 }
--- a/internal/settings/gateway.go
+++ b/internal/settings/gateway.go
@@ -29,12 +29,12 @@
 	Zone string
 	// Regions maps availability zones to their regions.
 	Regions map[string]string
-	// Link is the host's bandwidth in Mbit/s and Cores the number of cores available to the
+	// LinkMbps is the host's bandwidth in Mbit/s and Cores the number of cores available to the
 	// process; 0 means unknown.
-	Link  float64
-	Cores float64
-	// Memory is the memory that the process may use, in MB; 0 means unknown.
-	Memory float64
+	LinkMbps float64
+	Cores    float64
+	// MemoryMB is the memory that the process may use, in MB; 0 means unknown.
+	MemoryMB float64
 	// Seeds are the peer addresses to contact first; they may be stale.
 	Seeds []netip.AddrPort
 	// Publisher is the address from which the configuration and the backend servers are read.
@@ -42,20 +42,20 @@
 	// ReadyAfter is how long a starting node waits for both the publisher and a peer before
 	// one of them is enough.
 	ReadyAfter time.Duration
-	// Hold is how long callers may cache an answer with addresses.
-	Hold time.Duration
-	// Grace is how long a graceful stop may take.
-	Grace time.Duration
+	// AnswerTTL is how long callers may cache an answer with addresses.
+	AnswerTTL time.Duration
+	// StopTimeout is how long a graceful stop may take.
+	StopTimeout time.Duration
 	// RetryShare and RetryReserve limit the retries of all nodes together in any RetryWindow,
 	// as a share of the requests plus a fixed number.
 	RetryShare   float64
 	RetryReserve float64
 	RetryWindow  time.Duration
-	// ColdOver and ColdSlack limit the requests that all nodes together may send to a cold
-	// backend server in any second: ColdOver times the rate that it can handle, plus
+	// ColdFactor and ColdSlack limit the requests that all nodes together may send to a cold
+	// backend server in any second: ColdFactor times the rate that it can handle, plus
 	// ColdSlack.
-	ColdOver  float64
-	ColdSlack float64
+	ColdFactor float64
+	ColdSlack  float64
 	// LogLevel is the level of the log.
 	LogLevel logrus.Level
 	// ClockOffset is added to the wall clock. It has no key in the file: tests set it.
@@ -66,12 +66,12 @@
 func DefaultGateway() Gateway {
 	return Gateway{
 		ReadyAfter:   2 * time.Second,
-		Hold:         2 * time.Second,
-		Grace:        8 * time.Second,
+		AnswerTTL:    2 * time.Second,
+		StopTimeout:  8 * time.Second,
 		RetryShare:   0.1,
 		RetryReserve: 10,
 		RetryWindow:  10 * time.Second,
-		ColdOver:     1,
+		ColdFactor:   1,
 		LogLevel:     logrus.InfoLevel,
 	}
 }
@@ -105,18 +105,18 @@
 		{section: "node", name: "metrics", required: true, set: address(&g.Metrics)},
 		{section: "node", name: "zone", required: true, set: name(&g.Zone)},
 		{section: "node", name: "regions", set: pairs(&g.Regions)},
-		{section: "node", name: "link-mbps", set: amount(&g.Link)},
+		{section: "node", name: "link-mbps", set: amount(&g.LinkMbps)},
 		{section: "node", name: "cores", set: amount(&g.Cores)},
-		{section: "node", name: "memory-mb", set: amount(&g.Memory)},
+		{section: "node", name: "memory-mb", set: amount(&g.MemoryMB)},
 		{section: "node", name: "seeds", set: addresses(&g.Seeds)},
 		{section: "publisher", name: "address", required: true, set: address(&g.Publisher)},
 		{section: "publisher", name: "ready-after", set: duration(&g.ReadyAfter, 0, maxDuration)},
-		{section: "callers", name: "hold", set: duration(&g.Hold, time.Second, maxDuration)},
-		{section: "stop", name: "grace", set: duration(&g.Grace, time.Second, maxDuration)},
+		{section: "callers", name: "hold", set: duration(&g.AnswerTTL, time.Second, maxDuration)},
+		{section: "stop", name: "grace", set: duration(&g.StopTimeout, time.Second, maxDuration)},
 		{section: "retries", name: "share", set: fraction(&g.RetryShare)},
 		{section: "retries", name: "reserve", set: amount(&g.RetryReserve)},
 		{section: "retries", name: "window", set: duration(&g.RetryWindow, time.Second, maxDuration)},
-		{section: "cold", name: "over", set: amount(&g.ColdOver)},
+		{section: "cold", name: "over", set: amount(&g.ColdFactor)},
 		{section: "cold", name: "slack", set: amount(&g.ColdSlack)},
 		{section: "log", name: "level", set: level(&g.LogLevel)},
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -32,20 +32,20 @@
 	// ReadyAfter is how long a starting node waits for both the platform and a peer before one
 	// of them is enough.
 	ReadyAfter time.Duration
-	// Hold is how long callers may cache an answer with addresses.
-	Hold time.Duration
+	// AnswerTTL is how long callers may cache an answer with addresses.
+	AnswerTTL time.Duration
 	// MaxRunning limits the concurrent requests.
 	MaxRunning int
-	// Subset limits the backend servers of one pool that the node uses.
-	Subset int
+	// MaxPoolServers limits the backend servers of one pool that the node uses.
+	MaxPoolServers int
 	// MaxCallers limits the open connections of callers.
 	MaxCallers int
-	// Announce is how long a stopping node still admits requests after it has announced to its
+	// AnnouncePeriod is how long a stopping node still admits requests after it has announced to its
 	// peers that it is leaving.
-	Announce time.Duration
-	// Drain is how long a stopping node waits for requests that could be resumed at another
+	AnnouncePeriod time.Duration
+	// DrainTimeout is how long a stopping node waits for requests that could be resumed at another
 	// node. It waits for all others until their deadline.
-	Drain time.Duration
+	DrainTimeout time.Duration
 	// LogLevel and LogJSON are the level and the format of the log.
 	LogLevel logrus.Level
 	LogJSON  bool
@@ -54,15 +54,15 @@
 // Default returns the default settings, without addresses.
 func Default() Settings {
 	return Settings{
-		Zone:       "",
-		ReadyAfter: 5 * time.Second,
-		Hold:       30 * time.Second,
-		MaxRunning: 4096,
-		Subset:     64,
-		MaxCallers: 8192,
-		Announce:   3 * time.Second,
-		Drain:      10 * time.Second,
-		LogLevel:   logrus.InfoLevel,
+		Zone:           "",
+		ReadyAfter:     5 * time.Second,
+		AnswerTTL:      30 * time.Second,
+		MaxRunning:     4096,
+		MaxPoolServers: 64,
+		MaxCallers:     8192,
+		AnnouncePeriod: 3 * time.Second,
+		DrainTimeout:   10 * time.Second,
+		LogLevel:       logrus.InfoLevel,
 	}
 }
 
@@ -86,12 +86,12 @@
 		{section: "node", name: "seeds", set: addresses(&s.Seeds)},
 		{section: "platform", name: "addresses", required: true, set: addresses(&s.Platform)},
 		{section: "platform", name: "ready-after", set: duration(&s.ReadyAfter, 0, time.Hour)},
-		{section: "callers", name: "hold", set: duration(&s.Hold, time.Second, time.Hour)},
+		{section: "callers", name: "hold", set: duration(&s.AnswerTTL, time.Second, time.Hour)},
 		{section: "callers", name: "max-connections", set: number(&s.MaxCallers, 1, 1<<20)},
 		{section: "limits", name: "max-running", set: number(&s.MaxRunning, 1, 1<<20)},
-		{section: "limits", name: "subset", set: number(&s.Subset, 1, 1<<12)},
-		{section: "stop", name: "announce", set: duration(&s.Announce, 0, time.Hour)},
-		{section: "stop", name: "drain", set: duration(&s.Drain, 0, 24*time.Hour)},
+		{section: "limits", name: "subset", set: number(&s.MaxPoolServers, 1, 1<<12)},
+		{section: "stop", name: "announce", set: duration(&s.AnnouncePeriod, 0, time.Hour)},
+		{section: "stop", name: "drain", set: duration(&s.DrainTimeout, 0, 24*time.Hour)},
 		{section: "log", name: "level", set: level(&s.LogLevel)},
 		{section: "log", name: "format", set: format(&s.LogJSON)},
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -27,9 +27,9 @@
 func TestLoadValidSettings(t *testing.T) {
 	s, err := load(t, validSettings+"[stop]\nannounce = 1s\n")
 	assert.NilError(t, err)
-	assert.Equal(t, s.Announce, time.Second)
+	assert.Equal(t, s.AnnouncePeriod, time.Second)
 	assert.Equal(t, len(s.Platform), 2)
-	assert.Equal(t, s.Hold, settings.Default().Hold)
+	assert.Equal(t, s.AnswerTTL, settings.Default().AnswerTTL)
 }
 
 func TestLoadReportsEveryInvalidSetting(t *testing.T) {
--- a/internal/settings/standin.go
+++ b/internal/settings/standin.go
@@ -16,15 +16,15 @@
 type Standin struct {
 	// Site is the name of an example site.
 	Site string
-	// Work is the duration of one call, Token the time between two tokens.
-	Work  time.Duration
-	Token time.Duration
-	// Fail is the share of calls that fail, from 0 to 1.
-	Fail float64
+	// CallTime is the duration of one call, TokenInterval the time between two tokens.
+	CallTime      time.Duration
+	TokenInterval time.Duration
+	// FailShare is the share of calls that fail, from 0 to 1.
+	FailShare float64
 	// Nodes is the number of daemons that get an entry in the host list, and a settings file
-	// in Folder.
-	Nodes  int
-	Folder string
+	// in SettingsFolder.
+	Nodes          int
+	SettingsFolder string
 }
 
 // LoadStandin reads and checks the file at path.
@@ -33,15 +33,15 @@
 	if err != nil {
 		return Standin{}, fmt.Errorf("settings: %s: %w", path, err)
 	}
-	s := Standin{Work: 5 * time.Millisecond, Token: 2 * time.Millisecond, Nodes: 3, Folder: "."}
+	s := Standin{CallTime: 5 * time.Millisecond, TokenInterval: 2 * time.Millisecond, Nodes: 3, SettingsFolder: "."}
 	keys := []key{
 		{section: "standin", name: "site", required: true, set: name(&s.Site)},
-		{section: "standin", name: "work", set: duration(&s.Work, 0, time.Minute)},
-		{section: "standin", name: "token", set: duration(&s.Token, 0, time.Minute)},
-		{section: "standin", name: "fail", set: share(&s.Fail)},
+		{section: "standin", name: "work", set: duration(&s.CallTime, 0, time.Minute)},
+		{section: "standin", name: "token", set: duration(&s.TokenInterval, 0, time.Minute)},
+		{section: "standin", name: "fail", set: share(&s.FailShare)},
 		{section: "standin", name: "nodes", set: number(&s.Nodes, 0, 64)},
 		{section: "standin", name: "folder", set: func(text string) error {
-			s.Folder = text
+			s.SettingsFolder = text
 			return nil
 		}},
 	}
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -25,7 +25,7 @@
 	// Token is the time between two tokens of a stream.
 	Token time.Duration
 	// Models are the models that are loaded at the start.
-	Models []protocol.Loaded
+	Models []protocol.LoadedModel
 	// MemoryBytes is the memory for all models, which the engine reports.
 	MemoryBytes int64
 	// Unchecked makes the engine accept any order, whatever its fence.
@@ -48,7 +48,7 @@
 
 	mu          sync.Mutex
 	streams     map[string]*stream
-	models      []protocol.Loaded
+	models      []protocol.LoadedModel
 	sizes       map[string]int64
 	role        string
 	fence       uint64
@@ -111,7 +111,7 @@
 func (e *Engine) hasReadyModel(model string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return slices.ContainsFunc(e.models, func(l protocol.Loaded) bool { return l.Model == model && l.Ready })
+	return slices.ContainsFunc(e.models, func(l protocol.LoadedModel) bool { return l.Model == model && l.Ready })
 }
 
 func (e *Engine) handleCompletion(w http.ResponseWriter, r *http.Request) {
--- a/internal/standin/order.go
+++ b/internal/standin/order.go
@@ -45,10 +45,10 @@
 	case protocol.ActionRole:
 		e.role = o.Role
 	case protocol.ActionUnload:
-		e.models = slices.DeleteFunc(e.models, func(l protocol.Loaded) bool { return l.Model == o.Model })
+		e.models = slices.DeleteFunc(e.models, func(l protocol.LoadedModel) bool { return l.Model == o.Model })
 	case protocol.ActionLoad:
-		e.models = slices.DeleteFunc(e.models, func(l protocol.Loaded) bool { return l.Model == o.Model })
-		e.models = append(e.models, protocol.Loaded{Model: o.Model, Version: o.Version, Adapters: o.Adapters})
+		e.models = slices.DeleteFunc(e.models, func(l protocol.LoadedModel) bool { return l.Model == o.Model })
+		e.models = append(e.models, protocol.LoadedModel{Model: o.Model, Version: o.Version, Adapters: o.Adapters})
 		e.background.Go(func() { e.loadModel(o) })
 	}
 }
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -102,7 +102,7 @@
 	ids := make([]request.ID, 0, count)
 	for range count {
 		t.sequence++
-		ids = append(ids, request.Issue(t.key, t.address, t.incarnation, t.sequence, time.Since(t.createdAt)))
+		ids = append(ids, request.IssueID(t.key, t.address, t.incarnation, t.sequence, time.Since(t.createdAt)))
 	}
 	return ids
 }
@@ -147,7 +147,7 @@
 		return nil, false, verdict.New(verdict.Unknown, verdict.ReasonExpiredID, "table: id %s is too old to start", id)
 	}
 	if len(t.runs)+len(t.refused) >= t.options.MaxRuns {
-		return nil, false, verdict.New(verdict.NotRun, verdict.ReasonOverload, "table: %d requests are kept already", len(t.runs)).After(time.Second)
+		return nil, false, verdict.New(verdict.NotRun, verdict.ReasonOverload, "table: %d requests are kept already", len(t.runs)).WithRetryAfter(time.Second)
 	}
 	run := newRun(ctx, id, spec, time.Now())
 	t.runs[id] = run
@@ -159,7 +159,7 @@
 }
 
 func (t *Table) expired(id request.ID) bool {
-	return time.Since(t.createdAt)-id.Issued > t.options.IDsValid
+	return time.Since(t.createdAt)-id.IssueOffset > t.options.IDsValid
 }
 
 func (r refusal) err(id request.ID) error {
--- a/pipeline/template.go
+++ b/pipeline/template.go
@@ -14,11 +14,11 @@
 
 // Limits of published values. A value beyond any of them is rejected as a whole.
 const (
-	MaxStages    = 16
-	MaxNameBytes = 64
-	MaxPrompt    = 16 << 10
-	MaxDeadline  = 24 * time.Hour
-	MaxTokens    = 1 << 20
+	MaxStages      = 16
+	MaxNameBytes   = 64
+	MaxPromptBytes = 16 << 10
+	MaxDeadline    = 24 * time.Hour
+	MaxTokens      = 1 << 20
 )
 
 // Kind selects the protocol of a stage's backend servers.
@@ -62,9 +62,9 @@
 	MaxTokens int `json:"max_tokens,omitempty"`
 	// Unrepeatable is set if a call of the stage must never be sent twice.
 	Unrepeatable bool `json:"unrepeatable,omitempty"`
-	// Share is the share of the deadline that the stage may use, from 0 to 1; 0 means no
+	// DeadlineShare is the share of the deadline that the stage may use, from 0 to 1; 0 means no
 	// limit.
-	Share float64 `json:"share,omitempty"`
+	DeadlineShare float64 `json:"share,omitempty"`
 }
 
 // Template is the published value of a pipeline.
@@ -149,7 +149,7 @@
 			return fmt.Errorf("pipeline: template %s: duplicate stage %s", t.Name, s.Name)
 		}
 		seen[s.Name] = true
-		shares += s.Share
+		shares += s.DeadlineShare
 	}
 	if shares > 1 {
 		return fmt.Errorf("pipeline: template %s: the shares add up to %.2f, at most 1 is allowed", t.Name, shares)
@@ -164,8 +164,8 @@
 	if err := CheckName("pool of stage "+s.Name, s.Pool); err != nil {
 		return err
 	}
-	if s.Share < 0 || s.Share > 1 {
-		return fmt.Errorf("stage %s: share %.2f, want 0 to 1", s.Name, s.Share)
+	if s.DeadlineShare < 0 || s.DeadlineShare > 1 {
+		return fmt.Errorf("stage %s: share %.2f, want 0 to 1", s.Name, s.DeadlineShare)
 	}
 	switch s.Kind {
 	case KindEngine:
@@ -186,8 +186,8 @@
 			return err
 		}
 	}
-	if len(s.Prompt) > MaxPrompt {
-		return fmt.Errorf("stage %s: the prompt has %d bytes, at most %d are allowed", s.Name, len(s.Prompt), MaxPrompt)
+	if len(s.Prompt) > MaxPromptBytes {
+		return fmt.Errorf("stage %s: the prompt has %d bytes, at most %d are allowed", s.Name, len(s.Prompt), MaxPromptBytes)
 	}
 	if s.MaxTokens < 0 || s.MaxTokens > MaxTokens {
 		return fmt.Errorf("stage %s: max_tokens %d, want 0 to %d", s.Name, s.MaxTokens, MaxTokens)
--- a/request/event.go
+++ b/request/event.go
@@ -105,8 +105,8 @@
 	Costs     []StageCost `json:"costs,omitempty"`
 }
 
-// FailedOf converts err to the form that callers receive.
-func FailedOf(err error) Failed {
+// NewFailed converts err to the form that callers receive.
+func NewFailed(err error) Failed {
 	e := verdict.As(err)
 	f := Failed{Verdict: e.Verdict, Reason: e.Reason, RetryAfter: pipeline.Duration(e.RetryAfter), Settled: e.Settled}
 	if e.Err != nil {
@@ -119,7 +119,7 @@
 func (f Failed) Err() *verdict.Error {
 	e := verdict.New(f.Verdict, f.Reason, "%s", f.Message)
 	e.Settled = f.Settled && f.Verdict == verdict.NotRun
-	return e.After(time.Duration(f.RetryAfter))
+	return e.WithRetryAfter(time.Duration(f.RetryAfter))
 }
 
 // Status is the status of a request.
--- a/request/id.go
+++ b/request/id.go
@@ -29,9 +29,9 @@
 	Incarnation Incarnation
 	// Sequence is unique within the incarnation.
 	Sequence uint64
-	// Issued is the time of issue since the start of the incarnation, by the monotonic clock
+	// IssueOffset is the time of issue since the start of the incarnation, by the monotonic clock
 	// of the issuer, in whole milliseconds.
-	Issued time.Duration
+	IssueOffset time.Duration
 	// Seal is the issuer's signature of the other fields.
 	Seal [sealBytes]byte
 }
@@ -46,9 +46,9 @@
 
 var idEncoding = base32.NewEncoding("0123456789abcdefghjkmnpqrstvwxyz").WithPadding(base32.NoPadding)
 
-// Issue returns a signed id.
-func Issue(key Key, issuer netip.AddrPort, incarnation Incarnation, sequence uint64, issued time.Duration) ID {
-	id := ID{Issuer: issuer, Incarnation: incarnation, Sequence: sequence, Issued: issued.Truncate(time.Millisecond)}
+// IssueID returns a signed id.
+func IssueID(key Key, issuer netip.AddrPort, incarnation Incarnation, sequence uint64, issued time.Duration) ID {
+	id := ID{Issuer: issuer, Incarnation: incarnation, Sequence: sequence, IssueOffset: issued.Truncate(time.Millisecond)}
 	id.Seal = id.sign(key)
 	return id
 }
@@ -73,7 +73,7 @@
 	b = binary.BigEndian.AppendUint16(b, id.Issuer.Port())
 	b = binary.BigEndian.AppendUint64(b, uint64(id.Incarnation))
 	b = binary.BigEndian.AppendUint64(b, id.Sequence)
-	return binary.BigEndian.AppendUint64(b, uint64(id.Issued.Milliseconds()))
+	return binary.BigEndian.AppendUint64(b, uint64(id.IssueOffset.Milliseconds()))
 }
 
 // IsZero reports whether id is the zero ID.
@@ -113,7 +113,7 @@
 		Issuer:      netip.AddrPortFrom(addr, binary.BigEndian.Uint16(raw)),
 		Incarnation: Incarnation(binary.BigEndian.Uint64(raw[2:])),
 		Sequence:    binary.BigEndian.Uint64(raw[10:]),
-		Issued:      time.Duration(binary.BigEndian.Uint64(raw[18:])&maxIssuedMs) * time.Millisecond,
+		IssueOffset: time.Duration(binary.BigEndian.Uint64(raw[18:])&maxIssuedMs) * time.Millisecond,
 	}
 	copy(id.Seal[:], raw[26:])
 	return id
--- a/request/request_test.go
+++ b/request/request_test.go
@@ -18,7 +18,7 @@
 func TestIDRoundTripKeepsFieldsAndSeal(t *testing.T) {
 	key := request.Key{1, 2, 3}
 	for _, issuer := range []string{"10.0.0.1:7000", "[2001:db8::1]:7000"} {
-		id := request.Issue(key, netip.MustParseAddrPort(issuer), 42, 7, 1234567*time.Microsecond)
+		id := request.IssueID(key, netip.MustParseAddrPort(issuer), 42, 7, 1234567*time.Microsecond)
 		got, err := request.ParseID(id.String())
 		assert.NilError(t, err)
 		assert.Equal(t, got, id)
@@ -31,11 +31,11 @@
 
 func TestFailedRoundTripKeepsVerdict(t *testing.T) {
 	for _, e := range []*verdict.Error{
-		verdict.New(verdict.NotRun, verdict.ReasonOverload, "full").After(time.Second),
+		verdict.New(verdict.NotRun, verdict.ReasonOverload, "full").WithRetryAfter(time.Second),
 		verdict.New(verdict.Unknown, verdict.ReasonConnection, "cut"),
 		{Verdict: verdict.NotRun, Reason: verdict.ReasonLeaving, Settled: true},
 	} {
-		got := request.FailedOf(e).Err()
+		got := request.NewFailed(e).Err()
 		assert.Equal(t, got.Verdict, e.Verdict)
 		assert.Equal(t, got.Reason, e.Reason)
 		assert.Equal(t, got.RetryAfter, e.RetryAfter)
@@ -46,7 +46,7 @@
 }
 
 func FuzzParseID(f *testing.F) {
-	f.Add(request.Issue(request.Key{}, netip.MustParseAddrPort("10.0.0.1:1"), 1, 1, 1).String())
+	f.Add(request.IssueID(request.Key{}, netip.MustParseAddrPort("10.0.0.1:1"), 1, 1, 1).String())
 	f.Add("wv" + strings.Repeat("0", 80))
 	f.Fuzz(func(t *testing.T, text string) {
 		id, err := request.ParseID(text)
--- a/request/spec.go
+++ b/request/spec.go
@@ -103,8 +103,8 @@
 type Addresses struct {
 	// Addresses are ordered by preference; if one fails, a caller tries the next.
 	Addresses []netip.AddrPort `json:"addresses"`
-	// Hold is how long a caller may cache the answer.
-	Hold pipeline.Duration `json:"hold"`
+	// TTL is how long a caller may cache the answer.
+	TTL pipeline.Duration `json:"hold"`
 	// IDs are fresh ids issued by the answering node, each for one request.
 	IDs []ID `json:"ids"`
 	// IDsValid is how long the ids may be used from now.
--- a/verdict/verdict.go
+++ b/verdict/verdict.go
@@ -124,8 +124,8 @@
 	return e.Err
 }
 
-// After returns a copy of e that asks the caller to retry after d.
-func (e *Error) After(d time.Duration) *Error {
+// WithRetryAfter returns a copy of e that asks the caller to retry after d.
+func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	copied := *e
 	copied.RetryAfter = d
 	return &copied
