--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -22,25 +22,25 @@
 	"github.com/wingvale/wingvale/internal/sites"
 )
 
-// Fleet has the measurements of a fleet of one size, when idle and after changes.
-type Fleet struct {
+// Measurements are the results for a fleet of one size, when idle and after changes.
+type Measurements struct {
 	Nodes int
-	// Reads is the number of calls a second to the configuration service.
-	Reads float64
-	// Bytes is the number of bytes that one node sends each second, to other nodes and to the
+	// ReadsPerSecond is the number of calls to the configuration service.
+	ReadsPerSecond float64
+	// BytesPerSecond is the number of bytes that one node sends, to other nodes and to the
 	// platform.
-	Bytes float64
-	// CPU is the processor time that one node uses each second, including the stand-ins.
-	CPU time.Duration
-	// Healthy, Stale and Joined are the times until a change is in force on every node: with a
-	// healthy configuration service, with a service that is stale for all zones but one, and
-	// after a partitioned zone has rejoined.
-	Healthy time.Duration
-	Stale   time.Duration
-	Joined  time.Duration
-	// Leaving is the time until every node knows that a backend server is leaving, after the
-	// server has told one node.
-	Leaving time.Duration
+	BytesPerSecond float64
+	// CPUPerSecond is the processor time that one node uses, including the stand-ins.
+	CPUPerSecond time.Duration
+	// ChangeTime, StaleChangeTime and RejoinTime are the times until a change is in force on
+	// every node: with a healthy configuration service, with a service that is stale for all
+	// zones but one, and after a partitioned zone has rejoined.
+	ChangeTime      time.Duration
+	StaleChangeTime time.Duration
+	RejoinTime      time.Duration
+	// LeavingTime is the time until every node knows that a backend server is leaving, after
+	// the server has told one node.
+	LeavingTime time.Duration
 }
 
 const (
@@ -57,7 +57,7 @@
 )
 
 // Measure starts a fleet and measures it. It must be called in a synctest bubble.
-func Measure(ctx context.Context, nodes int) (Fleet, error) {
+func Measure(ctx context.Context, nodes int) (Measurements, error) {
 	network := memnet.New(func(netip.Addr, netip.Addr) time.Duration { return 500 * time.Microsecond })
 	site := sites.Farbwerk()
 	for i := range site.Pools {
@@ -65,32 +65,32 @@
 	}
 	s, err := harness.New(harness.Options{Site: site, Nodes: nodes, Network: harness.Memory{Network: network}})
 	if err != nil {
-		return Fleet{}, err
+		return Measurements{}, err
 	}
 	defer s.Close()
 	readyCtx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	if err := s.AwaitReady(readyCtx); err != nil {
-		return Fleet{}, err
+		return Measurements{}, err
 	}
 	time.Sleep(idleDuration)
-	f := Fleet{Nodes: nodes}
+	f := Measurements{Nodes: nodes}
 	f.measureIdle(s, network)
 	var errs [4]error
-	f.Healthy, errs[0] = measureChange(s, 11)
-	f.Stale, errs[1] = measureStale(s)
-	f.Joined, errs[2] = measureRejoin(s, network)
-	f.Leaving, errs[3] = measureLeaving(s)
+	f.ChangeTime, errs[0] = measureChange(s, 11)
+	f.StaleChangeTime, errs[1] = measureStale(s)
+	f.RejoinTime, errs[2] = measureRejoin(s, network)
+	f.LeavingTime, errs[3] = measureLeaving(s)
 	return f, errors.Join(errs[:]...)
 }
 
-func (f *Fleet) measureIdle(s *harness.Site, network *memnet.Network) {
+func (f *Measurements) measureIdle(s *harness.Site, network *memnet.Network) {
 	sent, calls, cpu := controlBytesSent(network), s.Configuration.Calls(), processorTime()
 	time.Sleep(idleDuration)
 	seconds, nodes := idleDuration.Seconds(), float64(f.Nodes)
-	f.Reads = float64(s.Configuration.Calls()-calls) / seconds
-	f.Bytes = float64(controlBytesSent(network)-sent) / seconds / nodes
-	f.CPU = time.Duration(float64(processorTime()-cpu) / seconds / nodes)
+	f.ReadsPerSecond = float64(s.Configuration.Calls()-calls) / seconds
+	f.BytesPerSecond = float64(controlBytesSent(network)-sent) / seconds / nodes
+	f.CPUPerSecond = time.Duration(float64(processorTime()-cpu) / seconds / nodes)
 }
 
 // controlBytesSent returns the bytes of control traffic that all nodes have sent.
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -33,18 +33,18 @@
 )
 
 func TestReadsAndBytesAreIndependentOfFleetSize(t *testing.T) {
-	var small, large capacity.Fleet
-	for size, into := range map[int]*capacity.Fleet{6: &small, 18: &large} {
+	var small, large capacity.Measurements
+	for size, into := range map[int]*capacity.Measurements{6: &small, 18: &large} {
 		synctest.Test(t, func(t *testing.T) {
 			f, err := capacity.Measure(t.Context(), size)
 			assert.NilError(t, err)
 			*into = f
 		})
 	}
-	assert.Assert(t, large.Reads <= 1.5*small.Reads, "got %.2f reads a second with 18 nodes, want at most 1.5 times the %.2f with 6 nodes", large.Reads, small.Reads)
-	assert.Assert(t, large.Bytes <= 1.8*small.Bytes, "got %.0f bytes a second with 18 nodes, want at most 1.8 times the %.0f with 6 nodes", large.Bytes, small.Bytes)
-	assert.Assert(t, large.Healthy <= 6*time.Second, "change was in force after %v, want at most 6s", large.Healthy)
-	assert.Assert(t, large.Joined <= 20*time.Second, "rejoined zone was up to date after %v, want at most 20s", large.Joined)
+	assert.Assert(t, large.ReadsPerSecond <= 1.5*small.ReadsPerSecond, "got %.2f reads a second with 18 nodes, want at most 1.5 times the %.2f with 6 nodes", large.ReadsPerSecond, small.ReadsPerSecond)
+	assert.Assert(t, large.BytesPerSecond <= 1.8*small.BytesPerSecond, "got %.0f bytes a second with 18 nodes, want at most 1.8 times the %.0f with 6 nodes", large.BytesPerSecond, small.BytesPerSecond)
+	assert.Assert(t, large.ChangeTime <= 6*time.Second, "change was in force after %v, want at most 6s", large.ChangeTime)
+	assert.Assert(t, large.RejoinTime <= 20*time.Second, "rejoined zone was up to date after %v, want at most 20s", large.RejoinTime)
 }
 
 func TestMeasure(t *testing.T) {
@@ -58,7 +58,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			f, err := capacity.Measure(t.Context(), nodes)
 			assert.NilError(t, err)
-			t.Logf("| %d | %.2f | %.0f | %v | %v | %v | %v | %v |", f.Nodes, f.Reads, f.Bytes, f.CPU, f.Healthy, f.Stale, f.Joined, f.Leaving)
+			t.Logf("| %d | %.2f | %.0f | %v | %v | %v | %v | %v |", f.Nodes, f.ReadsPerSecond, f.BytesPerSecond, f.CPUPerSecond, f.ChangeTime, f.StaleChangeTime, f.RejoinTime, f.LeavingTime)
 		})
 	}
 	t.Run("state", measureState)
--- a/internal/command/soak.go
+++ b/internal/command/soak.go
@@ -83,7 +83,7 @@
 // runSeed runs one seed. It reports whether the seed passed, and the line to print for it.
 func (c *soakCommand) runSeed(job int, seed uint64) (bool, string) {
 	r, err := soak.Run(context.Background(), soak.Options{
-		Binary: c.Binary, Dir: c.Dir, Seed: seed, Nodes: c.Nodes, For: c.For, Run: os.Getpid()*maxJobs + job,
+		Binary: c.Binary, Dir: c.Dir, Seed: seed, Nodes: c.Nodes, Duration: c.For, RunNumber: os.Getpid()*maxJobs + job,
 	})
 	line := fmt.Sprintf("seed %d: served %d of %d after the last fault; told %v; faults %v", seed, r.Served, r.After, r.Outcomes, r.Faults)
 	if err != nil {
--- a/internal/experiment/case.go
+++ b/internal/experiment/case.go
@@ -21,10 +21,10 @@
 // Case is one load scenario to measure.
 type Case struct {
 	Name string
-	// For is how long requests are sent.
-	For   time.Duration
-	size  siteSize
-	flows []flow
+	// Duration is how long requests are sent.
+	Duration time.Duration
+	size     siteSize
+	flows    []flow
 	// disturbedFrom and disturbedUntil are the start and end of the disturbance, counted from
 	// the first request. If disturbedUntil is 0, the case has no disturbance.
 	disturbedFrom, disturbedUntil time.Duration
@@ -78,46 +78,46 @@
 	s := farbwerkSize()
 	gen := s.capacity("generate")
 	cases := []Case{
-		{Name: "steady at 70%", For: 20 * time.Second, size: s, flows: fullPipelineFlows(constantRate(0.7 * gen))},
-		{Name: "steady at 70%, arhiva", For: 15 * time.Second, size: arhivaSize(), flows: fullPipelineFlows(constantRate(0.7 * arhivaSize().capacity("generate")))},
+		{Name: "steady at 70%", Duration: 20 * time.Second, size: s, flows: fullPipelineFlows(constantRate(0.7 * gen))},
+		{Name: "steady at 70%, arhiva", Duration: 15 * time.Second, size: arhivaSize(), flows: fullPipelineFlows(constantRate(0.7 * arhivaSize().capacity("generate")))},
 	}
 	for _, stage := range stages {
 		base := 0.4 * s.capacity(stage)
 		only := flow{name: "only-" + stage, workspace: "large", pipeline: "only-" + stage, rate: burstRate(base, 4, calmDuration, calmDuration+disturbanceDuration)}
 		cases = append(cases, Case{
-			Name: stage + " bursts to 4x", For: 3 * calmDuration, size: s, disturbedFrom: calmDuration, disturbedUntil: calmDuration + disturbanceDuration,
+			Name: stage + " bursts to 4x", Duration: 3 * calmDuration, size: s, disturbedFrom: calmDuration, disturbedUntil: calmDuration + disturbanceDuration,
 			flows: append(fullPipelineFlows(constantRate(0.4*gen)), only),
 		})
 	}
 	return append(cases,
 		Case{
-			Name: "rerank slowed 5x", For: 3 * calmDuration, size: s, disturbedFrom: calmDuration, disturbedUntil: calmDuration + disturbanceDuration,
+			Name: "rerank slowed 5x", Duration: 3 * calmDuration, size: s, disturbedFrom: calmDuration, disturbedUntil: calmDuration + disturbanceDuration,
 			flows: fullPipelineFlows(constantRate(0.7 * gen)), capacityScale: map[string]float64{"rerank": 0.2},
 			inject: slowServers("rerank", -1, 5), revert: slowServers("rerank", -1, 1),
 		},
 		Case{
-			Name: "one engine slowed 5x", For: 3 * calmDuration, size: s, disturbedFrom: calmDuration, disturbedUntil: calmDuration + disturbanceDuration,
+			Name: "one engine slowed 5x", Duration: 3 * calmDuration, size: s, disturbedFrom: calmDuration, disturbedUntil: calmDuration + disturbanceDuration,
 			flows: fullPipelineFlows(constantRate(0.7 * gen)), capacityScale: map[string]float64{"generate": 0.92},
 			inject: slowServers("generate", 0, 5), revert: slowServers("generate", 0, 1),
 		},
 		Case{
-			Name: "one zone gone", For: 3 * calmDuration, size: s, disturbedFrom: calmDuration, disturbedUntil: 3 * calmDuration,
+			Name: "one zone gone", Duration: 3 * calmDuration, size: s, disturbedFrom: calmDuration, disturbedUntil: 3 * calmDuration,
 			flows: fullPipelineFlows(constantRate(0.55 * gen)), capacityScale: map[string]float64{"encode": 2. / 3, "retrieve": 2. / 3, "rerank": 2. / 3, "generate": 0.6},
 			inject: killZone(s.zones[0]),
 		},
-		Case{Name: "reports late by 5 s", For: 20 * time.Second, size: s, flows: fullPipelineFlows(constantRate(0.85 * gen)), reportLag: 5 * time.Second},
+		Case{Name: "reports late by 5 s", Duration: 20 * time.Second, size: s, flows: fullPipelineFlows(constantRate(0.85 * gen)), reportLag: 5 * time.Second},
 		Case{
-			Name: "one workspace floods", For: 3 * calmDuration, size: s, disturbedFrom: calmDuration, disturbedUntil: calmDuration + disturbanceDuration,
+			Name: "one workspace floods", Duration: 3 * calmDuration, size: s, disturbedFrom: calmDuration, disturbedUntil: calmDuration + disturbanceDuration,
 			flows: append(fullPipelineFlows(constantRate(0.4*gen)),
 				flow{name: "flood", workspace: "large", pipeline: "full", rate: burstRate(0.1*gen, 25, calmDuration, calmDuration+disturbanceDuration)}),
 			withinShare: []string{"full north", "full south", "full east", "full west"},
 		},
 		Case{
-			Name: "cold engines", For: 4 * calmDuration, size: s, flows: fullPipelineFlows(constantRate(0.5 * gen)), coldStart: true,
+			Name: "cold engines", Duration: 4 * calmDuration, size: s, flows: fullPipelineFlows(constantRate(0.5 * gen)), coldStart: true,
 			disturbedFrom: 0, disturbedUntil: s.modelLoadTime() / 2, capacityScale: map[string]float64{"generate": 0.25},
 		},
 		Case{
-			Name: "3x overload", For: calmDuration + long + calmDuration, size: s, disturbedFrom: calmDuration, disturbedUntil: calmDuration + long,
+			Name: "3x overload", Duration: calmDuration + long + calmDuration, size: s, disturbedFrom: calmDuration, disturbedUntil: calmDuration + long,
 			flows: fullPipelineFlows(burstRate(0.6*gen, 5, calmDuration, calmDuration+long)),
 		},
 	)
@@ -156,15 +156,15 @@
 	}
 }
 
-// Bound returns an upper bound on the number of requests that can be answered in time. No stage
+// MaxAttainable returns an upper bound on the number of requests that can be answered in time. No stage
 // can serve more than its capacity between the first request and the last deadline. The
 // capacity during the disturbance is counted separately.
-func (c Case) Bound(offered map[string][]int) float64 {
+func (c Case) MaxAttainable(offered map[string][]int) float64 {
 	if c.disturbedUntil == 0 {
-		return c.boundBetween(offered, 0, c.For, 1)
+		return c.boundBetween(offered, 0, c.Duration, 1)
 	}
 	total := c.boundBetween(offered, 0, c.disturbedFrom, 1) + c.boundBetween(offered, c.disturbedFrom, c.disturbedUntil, 0)
-	return total + c.boundBetween(offered, c.disturbedUntil, c.For, 1)
+	return total + c.boundBetween(offered, c.disturbedUntil, c.Duration, 1)
 }
 
 // boundBetween returns the bound for the requests sent between two times. If fullCapacity is 0,
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -43,10 +43,10 @@
 		}
 	}
 	ours, baseline := got[0], got[1]
-	assert.Assert(t, ours.During >= 0.65, "attained %.3f of the bound during the overload, want at least 0.65", ours.During)
-	assert.Assert(t, ours.During >= 2*baseline.During, "attained %.3f of the bound, want at least twice the baseline's %.3f", ours.During, baseline.During)
+	assert.Assert(t, ours.DisturbedAttainment >= 0.65, "attained %.3f of the bound during the overload, want at least 0.65", ours.DisturbedAttainment)
+	assert.Assert(t, ours.DisturbedAttainment >= 2*baseline.DisturbedAttainment, "attained %.3f of the bound, want at least twice the baseline's %.3f", ours.DisturbedAttainment, baseline.DisturbedAttainment)
 	assert.Assert(t, ours.Waste <= 0.15, "wasted %.3f of the work, want at most 0.15", ours.Waste)
-	assert.Assert(t, ours.Recovered >= 0 && ours.Recovered <= 5*time.Second, "recovered after %v, want at most 5s", ours.Recovered)
+	assert.Assert(t, ours.RecoveryTime >= 0 && ours.RecoveryTime <= 5*time.Second, "recovered after %v, want at most 5s", ours.RecoveryTime)
 }
 
 func TestMeasure(t *testing.T) {
@@ -109,15 +109,15 @@
 
 func formatOutcome(o experiment.Outcome) string {
 	within, during, recovered := "", "", ""
-	if o.Within > 0 {
-		within = fmt.Sprintf("%.1f%%", 100*o.Within)
+	if o.WithinShareAttainment > 0 {
+		within = fmt.Sprintf("%.1f%%", 100*o.WithinShareAttainment)
 	}
-	if o.During > 0 {
-		during = fmt.Sprintf("%.1f%%", 100*o.During)
-		recovered = fmt.Sprintf("%v", o.Recovered)
+	if o.DisturbedAttainment > 0 {
+		during = fmt.Sprintf("%.1f%%", 100*o.DisturbedAttainment)
+		recovered = fmt.Sprintf("%v", o.RecoveryTime)
 	}
-	ms := func(stage string) string { return fmt.Sprintf("%d", o.Cost[stage].Milliseconds()) }
+	ms := func(stage string) string { return fmt.Sprintf("%d", o.WorkPerAttained[stage].Milliseconds()) }
 	return fmt.Sprintf("| %s | %s | %d | %d | %.1f%% | %.1f%% | %s | %.1f%% | %s | %s | %s, %s, %s, %s ms |",
-		o.Case, o.Policy, o.Offered, o.Attained, 100*float64(o.Attained)/float64(o.Offered), 100*float64(o.Attained)/o.Bound,
+		o.Case, o.Policy, o.Offered, o.Attained, 100*float64(o.Attained)/float64(o.Offered), 100*float64(o.Attained)/o.MaxAttainable,
 		during, 100*o.Waste, within, recovered, ms("encode"), ms("retrieve"), ms("rerank"), ms("generate"))
 }
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -50,23 +50,25 @@
 type Outcome struct {
 	Case   string
 	Policy string
-	// Offered and Attained count the requests sent and those answered in time. Bound is the
-	// largest number that could be answered in time.
-	Offered  int
-	Attained int
-	Bound    float64
-	// During is the fraction of the bound that was attained during the disturbance, 0 to 1.
-	During float64
+	// Offered and Attained count the requests sent and those answered in time.
+	// MaxAttainable is an upper bound on the number that can be answered in time.
+	Offered       int
+	Attained      int
+	MaxAttainable float64
+	// DisturbedAttainment is the fraction of the bound that was attained during the disturbance,
+	// 0 to 1.
+	DisturbedAttainment float64
 	// Waste is the share of stage work spent on requests that then missed their deadline.
 	Waste float64
-	// Cost is the stage work per attained request, by stage.
-	Cost map[string]time.Duration
-	// Within is the share of attained requests of the flows within their fair share.
-	Within float64
-	// Recovered is the time from the end of the disturbance until 95% of requests were attained
-	// again. It is negative if that did not happen.
-	Recovered time.Duration
-	Report    *load.Report
+	// WorkPerAttained is the stage work per attained request, by stage.
+	WorkPerAttained map[string]time.Duration
+	// WithinShareAttainment is the share of attained requests of the flows within their fair
+	// share.
+	WithinShareAttainment float64
+	// RecoveryTime is the time from the end of the disturbance until 95% of requests were
+	// attained again. It is negative if that did not happen.
+	RecoveryTime time.Duration
+	Report       *load.Report
 }
 
 const (
@@ -109,7 +111,7 @@
 	report := load.Run(ctx, load.Options{
 		Caller:  newRoundRobin(s),
 		Sources: c.sources(),
-		For:     c.For,
+		For:     c.Duration,
 		Random:  rand.New(rand.NewPCG(seed, 7)),
 	})
 	return c.outcome(p, report), nil
@@ -169,7 +171,7 @@
 }
 
 func (c Case) outcome(p Policy, r *load.Report) Outcome {
-	o := Outcome{Case: c.Name, Policy: p.Name, Waste: r.Waste(), Cost: make(map[string]time.Duration), Report: r}
+	o := Outcome{Case: c.Name, Policy: p.Name, Waste: r.Waste(), WorkPerAttained: make(map[string]time.Duration), Report: r}
 	o.Offered, o.Attained = r.Totals()
 	offered := make(map[string][]int)
 	for name, s := range r.Sources {
@@ -177,14 +179,14 @@
 			offered[name] = append(offered[name], second.Offered)
 		}
 	}
-	o.Bound = c.Bound(offered)
+	o.MaxAttainable = c.MaxAttainable(offered)
 	for name, s := range r.Stages {
-		o.Cost[name] = s.Work / time.Duration(max(o.Attained, 1))
+		o.WorkPerAttained[name] = s.Work / time.Duration(max(o.Attained, 1))
 	}
 	o.setWithin(c, r)
 	if c.disturbedUntil > 0 {
-		o.During = c.disturbedAttainment(r, offered)
-		o.Recovered = c.recoveryTime(r)
+		o.DisturbedAttainment = c.disturbedAttainment(r, offered)
+		o.RecoveryTime = c.recoveryTime(r)
 	}
 	return o
 }
@@ -196,7 +198,7 @@
 		attained += r.Sources[name].Attained
 	}
 	if offered > 0 {
-		o.Within = float64(attained) / float64(offered)
+		o.WithinShareAttainment = float64(attained) / float64(offered)
 	}
 }
 
@@ -216,7 +218,7 @@
 
 func (c Case) recoveryTime(r *load.Report) time.Duration {
 	first := int(c.disturbedUntil / time.Second)
-	for second := first; second < int(c.For/time.Second); second++ {
+	for second := first; second < int(c.Duration/time.Second); second++ {
 		offered, attained := 0, 0
 		for _, s := range r.Sources {
 			if second < len(s.Seconds) {
