--- a/client/client.go
+++ b/client/client.go
@@ -92,7 +92,7 @@
 	}
 	var last error
 	for _, node := range c.preferAvailable(slices.Concat(cached, c.options.Bootstrap)) {
-		a, err := c.Ask(ctx, node)
+		a, err := c.FetchAddresses(ctx, node)
 		if err != nil {
 			last = err
 			continue
@@ -107,8 +107,8 @@
 	return nil, verdict.New(verdict.NotRun, verdict.ReasonConnection, "client: no node gives addresses: %w", last)
 }
 
-// Ask fetches addresses and request ids from one node and caches them.
-func (c *Client) Ask(ctx context.Context, node netip.AddrPort) (request.Addresses, error) {
+// FetchAddresses fetches addresses and request ids from one node and caches them.
+func (c *Client) FetchAddresses(ctx context.Context, node netip.AddrPort) (request.Addresses, error) {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
 	target := fmt.Sprintf("http://%s/v1/addresses?ids=%d&zone=%s", node, idsPerFetch, url.QueryEscape(c.options.Zone))
@@ -187,7 +187,7 @@
 	if id, ok := c.cachedID(node); ok {
 		return id, nil
 	}
-	if _, err := c.Ask(ctx, node); err != nil {
+	if _, err := c.FetchAddresses(ctx, node); err != nil {
 		return request.ID{}, err
 	}
 	if id, ok := c.cachedID(node); ok {
--- a/internal/campaign/campaign.go
+++ b/internal/campaign/campaign.go
@@ -112,7 +112,7 @@
 	s := sites.Farbwerk()
 	runners := map[string]int{"language-models": 4, "encoders": 2, "retrievers": 2, "rerankers": 2, "mixing-portal": 2, "invoicing": 2}
 	for i := range s.Pools {
-		s.Pools[i].Runners = max(runners[s.Pools[i].Name], 1)
+		s.Pools[i].Servers = max(runners[s.Pools[i].Name], 1)
 		s.Pools[i].Slots = 16
 	}
 	return s
--- a/internal/campaign/duplicate.go
+++ b/internal/campaign/duplicate.go
@@ -41,7 +41,7 @@
 	if err != nil {
 		return
 	}
-	a, err := c.Ask(ctx, nodes[0])
+	a, err := c.FetchAddresses(ctx, nodes[0])
 	if err != nil || len(a.IDs) == 0 {
 		return
 	}
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -61,7 +61,7 @@
 	network := memnet.New(func(netip.Addr, netip.Addr) time.Duration { return 500 * time.Microsecond })
 	site := sites.Farbwerk()
 	for i := range site.Pools {
-		site.Pools[i].Runners = 1
+		site.Pools[i].Servers = 1
 	}
 	s, err := harness.New(harness.Options{Site: site, Nodes: nodes, Network: harness.Memory{Network: network}})
 	if err != nil {
--- a/internal/command/check.go
+++ b/internal/command/check.go
@@ -61,7 +61,7 @@
 
 // checkFolder validates all values below a folder and the references between them.
 func checkFolder(p string) (string, error) {
-	values, err := sites.Read(os.DirFS(p), ".")
+	values, err := sites.ReadValues(os.DirFS(p), ".")
 	if err != nil {
 		return "", err
 	}
--- a/internal/command/demo.go
+++ b/internal/command/demo.go
@@ -166,11 +166,11 @@
 				return request.Spec{Workspace: d.workspace, Pipeline: d.pipeline, Input: d.site.Questions[n%len(d.site.Questions)]}
 			},
 			Expect:   func(s request.Spec) string { return expected[s.Input] },
-			Rate:     load.Steady(c.Rate),
+			Rate:     load.ConstantRate(c.Rate),
 			Deadline: 2 * time.Second,
 		}},
-		For:    c.For,
-		Random: rand.New(rand.NewPCG(1, 1)),
+		Duration: c.For,
+		Random:   rand.New(rand.NewPCG(1, 1)),
 	})
 	report.Write(o.out)
 	<-running.Nodes()[0].Done()
--- a/internal/command/explain.go
+++ b/internal/command/explain.go
@@ -37,8 +37,8 @@
 	if err != nil {
 		return err
 	}
-	if logs.Unread > 0 {
-		o.printf("%d lines could not be read\n", logs.Unread)
+	if logs.Unparsed > 0 {
+		o.printf("%d lines could not be read\n", logs.Unparsed)
 	}
 	requests := []string{id}
 	if id == "" {
@@ -48,7 +48,7 @@
 		return errors.New("no request in these logs matches")
 	}
 	for _, id := range requests {
-		trace, err := logs.Of(id)
+		trace, err := logs.RequestTrace(id)
 		if err != nil {
 			return err
 		}
@@ -73,7 +73,7 @@
 	if c.Slowest < 1 {
 		return explain.Filter{}, fmt.Errorf("--slowest %d: want at least 1", c.Slowest)
 	}
-	f := explain.Filter{Outcome: c.Outcome, Slowest: c.Slowest}
+	f := explain.Filter{Outcome: c.Outcome, MaxRequests: c.Slowest}
 	if c.Since == "" {
 		return f, nil
 	}
--- a/internal/command/load.go
+++ b/internal/command/load.go
@@ -54,11 +54,11 @@
 		Sources: []load.Source{{
 			Name:     c.Pipeline,
 			Spec:     func(int) request.Spec { return spec },
-			Rate:     load.Steady(c.Rate),
+			Rate:     load.ConstantRate(c.Rate),
 			Deadline: c.Deadline,
 		}},
-		For:    c.For,
-		Random: rand.New(rand.NewPCG(c.Seed, c.Seed)),
+		Duration: c.For,
+		Random:   rand.New(rand.NewPCG(c.Seed, c.Seed)),
 	}
 	if !c.json() {
 		options.Progress = func(elapsed time.Duration, r *load.Report) {
--- a/internal/command/request.go
+++ b/internal/command/request.go
@@ -100,7 +100,7 @@
 		return err
 	}
 	caller := client.New(client.Options{Bootstrap: to, Zone: c.Zone})
-	a, err := caller.Ask(context.Background(), to[0])
+	a, err := caller.FetchAddresses(context.Background(), to[0])
 	if err != nil {
 		return err
 	}
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -109,10 +109,10 @@
 		time.AfterFunc(c.disturbedUntil, func() { c.revert(s) })
 	}
 	report := load.Run(ctx, load.Options{
-		Caller:  newRoundRobin(s),
-		Sources: c.sources(),
-		For:     c.Duration,
-		Random:  rand.New(rand.NewPCG(seed, 7)),
+		Caller:   newRoundRobin(s),
+		Sources:  c.sources(),
+		Duration: c.Duration,
+		Random:   rand.New(rand.NewPCG(seed, 7)),
 	})
 	return c.outcome(p, report), nil
 }
--- a/internal/experiment/site.go
+++ b/internal/experiment/site.go
@@ -73,9 +73,9 @@
 // site returns a site of that size. Each stage has a pipeline of its own in addition to the
 // full pipeline.
 func (s siteSize) site() sites.Site {
-	site := sites.Site{Name: s.name, Zones: s.zones, Documents: standin.Recipes(), Published: s.publishedValues()}
+	site := sites.Site{Name: s.name, Zones: s.zones, Documents: standin.Recipes(), CustomValues: s.publishedValues()}
 	for _, stage := range stages {
-		p := sites.Pool{Name: stage, Role: published.RolePool, Stage: stage, Runners: s.runners[stage], Slots: stageSlots(stage)}
+		p := sites.Pool{Name: stage, Role: published.RolePool, Stage: stage, Servers: s.runners[stage], Slots: stageSlots(stage)}
 		if stage == "generate" {
 			p.Role, p.Stage = published.RoleEngine, ""
 		}
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -45,7 +45,7 @@
 
 func writeTrace(t *testing.T, logs *explain.Logs, id string) string {
 	t.Helper()
-	s, err := logs.Of(id)
+	s, err := logs.RequestTrace(id)
 	assert.NilError(t, err)
 	var b strings.Builder
 	assert.NilError(t, s.Write(&b))
@@ -54,7 +54,7 @@
 
 func TestTraceShowsLinesStateChangesAndTimes(t *testing.T) {
 	logs := readLogs(t, entryLog, ownerLog)
-	assert.Equal(t, logs.Unread, 1)
+	assert.Equal(t, logs.Unparsed, 1)
 	got := writeTrace(t, logs, "r-1")
 	for _, want := range []string{
 		"late: a stage's owner told that it would not be reached in time",
@@ -73,7 +73,7 @@
 func TestTraceNamesHostsWhoseLogIsMissing(t *testing.T) {
 	got := writeTrace(t, readLogs(t, entryLog), "r-1")
 	assert.Check(t, strings.Contains(got, "the log of 10.2.0.1:80 is missing"), got)
-	_, err := readLogs(t, ownerLog).Of("r-1")
+	_, err := readLogs(t, ownerLog).RequestTrace("r-1")
 	assert.Check(t, errors.Is(err, explain.ErrUnknown))
 }
 
@@ -86,7 +86,7 @@
 	logs := readLogs(t, entryLog, ownerLog)
 	since := time.Date(0, 1, 1, 10, 0, 7, 500e6, time.UTC)
 	assert.DeepEqual(t, logs.Requests(explain.Filter{}), []string{"r-2", "r-1"})
-	assert.DeepEqual(t, logs.Requests(explain.Filter{Slowest: 1}), []string{"r-2"})
+	assert.DeepEqual(t, logs.Requests(explain.Filter{MaxRequests: 1}), []string{"r-2"})
 	assert.DeepEqual(t, logs.Requests(explain.Filter{Outcome: "late"}), []string{"r-1"})
 	assert.DeepEqual(t, logs.Requests(explain.Filter{Since: since}), []string{"r-2"})
 }
@@ -103,7 +103,7 @@
 		logs := &explain.Logs{}
 		logs.Add(lines, unread)
 		for _, id := range logs.Requests(explain.Filter{}) {
-			s, err := logs.Of(id)
+			s, err := logs.RequestTrace(id)
 			if err != nil && id != "" {
 				t.Fatal(err)
 			}
--- a/internal/explain/line.go
+++ b/internal/explain/line.go
@@ -22,8 +22,8 @@
 
 // Line is one line of a host's log.
 type Line struct {
-	// At is the time of day by the host's clock. Its date is January 1 of year 0.
-	At time.Time
+	// Time is the time of day by the host's clock. Its date is January 1 of year 0.
+	Time time.Time
 	// Host is the address at which callers reach the host that wrote the line.
 	Host    string
 	Message string
@@ -89,7 +89,7 @@
 	if err != nil || l.Message == "" {
 		return Line{}, false
 	}
-	l.At = at
+	l.Time = at
 	for _, name := range []string{"node", "msg", "request", "time", "level"} {
 		delete(fields, name)
 	}
--- a/internal/explain/logs.go
+++ b/internal/explain/logs.go
@@ -18,8 +18,8 @@
 	lines []Line
 	// hosts is the set of hosts that wrote a line.
 	hosts map[string]bool
-	// Unread is the number of lines that could not be parsed.
-	Unread int
+	// Unparsed is the number of lines that could not be parsed.
+	Unparsed int
 }
 
 // Add adds the lines of one host, and the number of its lines that could not be parsed.
@@ -31,8 +31,8 @@
 		g.hosts[l.Host] = true
 	}
 	g.lines = append(g.lines, lines...)
-	slices.SortStableFunc(g.lines, func(a, b Line) int { return a.At.Compare(b.At) })
-	g.Unread += unread
+	slices.SortStableFunc(g.lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
+	g.Unparsed += unread
 }
 
 // Filter selects requests that have ended. A field with its zero value selects all of them.
@@ -41,8 +41,8 @@
 	Outcome string
 	// Since is the earliest time of day at which requests ended.
 	Since time.Time
-	// Slowest is the maximum number of requests. Those that took longest are selected.
-	Slowest int
+	// MaxRequests is the maximum number of requests. Those that took longest are selected.
+	MaxRequests int
 }
 
 // matches reports whether the filter selects the request whose last line is l.
@@ -51,7 +51,7 @@
 		return false
 	}
 	// Times of day are in year 0, which is before the zero time.
-	return f.Since.IsZero() || !l.At.Before(f.Since)
+	return f.Since.IsZero() || !l.Time.Before(f.Since)
 }
 
 // Requests returns the ids of the requests that a filter selects, the slowest first.
@@ -63,8 +63,8 @@
 		}
 	}
 	slices.SortStableFunc(ends, func(a, b Line) int { return cmp.Compare(b.durationField("took_ms"), a.durationField("took_ms")) })
-	if f.Slowest > 0 {
-		ends = ends[:min(len(ends), f.Slowest)]
+	if f.MaxRequests > 0 {
+		ends = ends[:min(len(ends), f.MaxRequests)]
 	}
 	ids := make([]string, 0, len(ends))
 	for _, l := range ends {
--- a/internal/explain/trace.go
+++ b/internal/explain/trace.go
@@ -58,73 +58,73 @@
 	"leaving":                                               "",
 }
 
-// Story is the trace of one request through the logs.
-type Story struct {
+// Trace is the trace of one request through the logs.
+type Trace struct {
 	Request string
 	// Lines are the lines of the request, in order of time.
 	Lines []Line
-	// Beliefs are the latest state changes of each kind, for each server of the request, that
+	// StateChanges are the latest state changes of each kind, for each server of the request, that
 	// the host that accepted the request logged before the request ended.
-	Beliefs []Line
-	// Missing are the hosts that the lines refer to and whose logs were not given.
-	Missing []string
-	// End is the last line of the request. Ended is false if no log contains it.
-	End   Line
-	Ended bool
+	StateChanges []Line
+	// MissingHosts are the hosts that the lines refer to and whose logs were not given.
+	MissingHosts []string
+	// LastLine is the last line of the request. Ended is false if no log contains it.
+	LastLine Line
+	Ended    bool
 }
 
-// Of returns the trace of the request with the given id. Its error wraps ErrUnknown if no log
-// mentions the request.
-func (g *Logs) Of(id string) (Story, error) {
-	s := Story{Request: id, Lines: g.requestLines(id)}
-	if len(s.Lines) == 0 {
-		return Story{}, fmt.Errorf("%w: %s: read the logs of %d hosts; the log of the host that accepted it may be missing", ErrUnknown, id, len(g.hosts))
+// RequestTrace returns the trace of the request with the given id. Its error wraps ErrUnknown
+// if no log mentions the request.
+func (g *Logs) RequestTrace(id string) (Trace, error) {
+	t := Trace{Request: id, Lines: g.requestLines(id)}
+	if len(t.Lines) == 0 {
+		return Trace{}, fmt.Errorf("%w: %s: read the logs of %d hosts; the log of the host that accepted it may be missing", ErrUnknown, id, len(g.hosts))
 	}
-	s.Missing = g.missingHosts(s.Lines)
-	for _, l := range s.Lines {
+	t.MissingHosts = g.missingHosts(t.Lines)
+	for _, l := range t.Lines {
 		if l.Message == endMessage {
-			s.End, s.Ended = l, true
+			t.LastLine, t.Ended = l, true
 		}
 	}
-	if s.Ended {
-		s.Beliefs = g.latestStateChanges(s)
+	if t.Ended {
+		t.StateChanges = g.latestStateChanges(t)
 	}
-	return s, nil
+	return t, nil
 }
 
 // latestStateChanges returns the latest state change of each kind, for each server of the
 // request, on the host that accepted the request, up to the end of the request.
-func (g *Logs) latestStateChanges(s Story) []Line {
+func (g *Logs) latestStateChanges(t Trace) []Line {
 	servers := make(map[string]bool)
-	for _, l := range s.Lines {
+	for _, l := range t.Lines {
 		servers[l.textField("server")] = true
 	}
 	last := make(map[string]Line)
 	for _, l := range g.lines {
 		serverField, ok := stateChanges[l.Message]
-		if !ok || l.Host != s.End.Host || l.At.After(s.End.At) || serverField != "" && !servers[l.textField(serverField)] {
+		if !ok || l.Host != t.LastLine.Host || l.Time.After(t.LastLine.Time) || serverField != "" && !servers[l.textField(serverField)] {
 			continue
 		}
 		last[l.Message+" "+l.textField(serverField)] = l
 	}
-	return slices.SortedFunc(maps.Values(last), func(a, b Line) int { return a.At.Compare(b.At) })
+	return slices.SortedFunc(maps.Values(last), func(a, b Line) int { return a.Time.Compare(b.Time) })
 }
 
 // Write writes the trace as text.
-func (s Story) Write(w io.Writer) error {
+func (t Trace) Write(w io.Writer) error {
 	var b strings.Builder
-	s.writeSummary(&b)
-	for _, l := range s.Lines {
-		fmt.Fprintf(&b, "  %s  %s  %s%s\n", l.At.Format(timeLayout), l.Host, l.Message, formatFields(l))
+	t.writeSummary(&b)
+	for _, l := range t.Lines {
+		fmt.Fprintf(&b, "  %s  %s  %s%s\n", l.Time.Format(timeLayout), l.Host, l.Message, formatFields(l))
 	}
-	if len(s.Beliefs) > 0 {
-		fmt.Fprintf(&b, "what %s believed, and for how long:\n", s.End.Host)
-		for _, l := range s.Beliefs {
-			fmt.Fprintf(&b, "  %s  %s%s\n", s.End.At.Sub(l.At).Round(time.Millisecond), l.Message, formatFields(l))
+	if len(t.StateChanges) > 0 {
+		fmt.Fprintf(&b, "what %s believed, and for how long:\n", t.LastLine.Host)
+		for _, l := range t.StateChanges {
+			fmt.Fprintf(&b, "  %s  %s%s\n", t.LastLine.Time.Sub(l.Time).Round(time.Millisecond), l.Message, formatFields(l))
 		}
 	}
-	s.writeTimes(&b)
-	for _, host := range s.Missing {
+	t.writeTimes(&b)
+	for _, host := range t.MissingHosts {
 		fmt.Fprintf(&b, "the log of %s is missing: it was asked for this request\n", host)
 	}
 	_, err := io.WriteString(w, b.String())
@@ -132,26 +132,26 @@
 }
 
 // writeSummary writes how the request ended and why.
-func (s Story) writeSummary(b *strings.Builder) {
-	if !s.Ended {
-		fmt.Fprintf(b, "request %s: no log has its end; that of the host which took it is missing, or it was under way\n", s.Request)
+func (t Trace) writeSummary(b *strings.Builder) {
+	if !t.Ended {
+		fmt.Fprintf(b, "request %s: no log has its end; that of the host which took it is missing, or it was under way\n", t.Request)
 		return
 	}
-	outcome := s.End.textField("outcome")
+	outcome := t.LastLine.textField("outcome")
 	cause, ok := causes[outcome]
 	if !ok {
 		cause = outcome
 	}
-	fmt.Fprintf(b, "request %s on %s, workspace %s: %s: %s\n", s.Request, s.End.textField("route"), s.End.textField("workspace"), outcome, cause)
+	fmt.Fprintf(b, "request %s on %s, workspace %s: %s: %s\n", t.Request, t.LastLine.textField("route"), t.LastLine.textField("workspace"), outcome, cause)
 }
 
 // writeTimes writes how long the parts of the request took.
-func (s Story) writeTimes(b *strings.Builder) {
-	if !s.Ended {
+func (t Trace) writeTimes(b *strings.Builder) {
+	if !t.Ended {
 		return
 	}
-	stages, first, took := s.End.durationField("stages_ms"), s.End.durationField("first_ms"), s.End.durationField("took_ms")
-	fmt.Fprintf(b, "time: %v in all of %v, in time within %v", took, s.End.durationField("held_ms"), s.End.durationField("objective_ms"))
+	stages, first, took := t.LastLine.durationField("stages_ms"), t.LastLine.durationField("first_ms"), t.LastLine.durationField("took_ms")
+	fmt.Fprintf(b, "time: %v in all of %v, in time within %v", took, t.LastLine.durationField("held_ms"), t.LastLine.durationField("objective_ms"))
 	if stages > 0 {
 		fmt.Fprintf(b, "; stages %v", stages)
 	}
--- a/internal/harness/server.go
+++ b/internal/harness/server.go
@@ -47,7 +47,7 @@
 func (s *Site) startServers() error {
 	number := firstServerNumber
 	for _, p := range s.options.Site.Pools {
-		for i := range p.Runners {
+		for i := range p.Servers {
 			address, err := s.options.Network.Address(number, serverPort)
 			if err != nil {
 				return err
--- a/internal/knownred/judge.go
+++ b/internal/knownred/judge.go
@@ -36,8 +36,8 @@
 	reportPrefix    = "--- "
 )
 
-// ErrEvent is returned for a line that is not an event.
-var ErrEvent = errors.New("not an event of go test -json")
+// ErrBadEvent is returned for a line that is not an event.
+var ErrBadEvent = errors.New("not an event of go test -json")
 
 // Kind is the kind of a fault.
 type Kind string
@@ -66,9 +66,9 @@
 	PackageFailed Kind = "failed beside its tests"
 	// PackageUnfinished is a package that started and did not finish.
 	PackageUnfinished Kind = "package did not end"
-	// RunBroken is a run whose exit status is missing or does not match the results of its
+	// RunInconsistent is a run whose exit status is missing or does not match the results of its
 	// packages, or that has no packages.
-	RunBroken Kind = "go test did not end as its packages did"
+	RunInconsistent Kind = "go test did not end as its packages did"
 )
 
 // Fault is a reason why a run fails.
@@ -120,7 +120,7 @@
 // Judge reads the events of a run of go test -json, followed by an ActionEnd event, and
 // checks the run against a list. It writes the output that go test prints without -json,
 // one package at a time. It returns an error only if the events can't be read; the error
-// wraps ErrEvent if a line is not an event.
+// wraps ErrBadEvent if a line is not an event.
 func Judge(list []Entry, events io.Reader, out io.Writer) (Result, error) {
 	j := &judge{listed: map[Test]bool{}, packages: map[string]*packageRun{}, out: out}
 	for _, e := range list {
@@ -131,7 +131,7 @@
 	for lines.Scan() {
 		var e event
 		if err := json.Unmarshal(lines.Bytes(), &e); err != nil || e.Action == "" {
-			return Result{}, fmt.Errorf("%w: %q", ErrEvent, lines.Text())
+			return Result{}, fmt.Errorf("%w: %q", ErrBadEvent, lines.Text())
 		}
 		j.addEvent(e)
 	}
@@ -183,7 +183,7 @@
 		}
 	}
 	if !j.ended || j.exitStatus != wantStatus || len(names) == 0 {
-		r.Faults = append(r.Faults, Fault{Kind: RunBroken})
+		r.Faults = append(r.Faults, Fault{Kind: RunInconsistent})
 	}
 	return r
 }
--- a/internal/knownred/judge_test.go
+++ b/internal/knownred/judge_test.go
@@ -297,20 +297,20 @@
 		{"no exit status", func(s *stream) {
 			s.runTest("fail", "p", "TestKnown")
 			s.failPackage("p")
-		}, []knownred.Fault{fault(knownred.RunBroken, "", "")}},
+		}, []knownred.Fault{fault(knownred.RunInconsistent, "", "")}},
 		{"a killed run", func(s *stream) {
 			s.runTest("fail", "p", "TestKnown")
 			s.failPackage("p")
 			s.endRun(137)
-		}, []knownred.Fault{fault(knownred.RunBroken, "", "")}},
+		}, []knownred.Fault{fault(knownred.RunInconsistent, "", "")}},
 		{"a failed run of packages that pass", func(s *stream) {
 			s.runTest("pass", "p", "TestKnown")
 			s.passPackage("p")
 			s.endRun(1)
-		}, []knownred.Fault{fault(knownred.ListedPassed, "p", "TestKnown"), fault(knownred.RunBroken, "", "")}},
+		}, []knownred.Fault{fault(knownred.ListedPassed, "p", "TestKnown"), fault(knownred.RunInconsistent, "", "")}},
 		{"no package", func(s *stream) {
 			s.endRun(0)
-		}, []knownred.Fault{fault(knownred.ListedNotRun, "p", "TestKnown"), fault(knownred.RunBroken, "", "")}},
+		}, []knownred.Fault{fault(knownred.ListedNotRun, "p", "TestKnown"), fault(knownred.RunInconsistent, "", "")}},
 	})
 }
 
@@ -339,6 +339,6 @@
 func TestJudgeRejectsLineThatIsNotAnEvent(t *testing.T) {
 	for _, text := range []string{"FAIL\tp\n", "{}\n", "{\"Action\":\n"} {
 		_, err := knownred.Judge(nil, strings.NewReader(text), &bytes.Buffer{})
-		assert.ErrorIs(t, err, knownred.ErrEvent)
+		assert.ErrorIs(t, err, knownred.ErrBadEvent)
 	}
 }
--- a/internal/knownred/list.go
+++ b/internal/knownred/list.go
@@ -12,8 +12,8 @@
 	"strings"
 )
 
-// Most is the maximum number of tests in a list.
-const Most = 3
+// MaxTests is the maximum number of tests in a list.
+const MaxTests = 3
 
 // fieldsPerLine is the number of fields of a line: the test, its cause and its issue.
 const fieldsPerLine = 3
@@ -23,9 +23,9 @@
 
 // Errors of Parse.
 var (
-	ErrLine  = errors.New("want PACKAGE TEST | CAUSE | ISSUE")
-	ErrTwice = errors.New("listed twice")
-	ErrMany  = fmt.Errorf("more than %d tests", Most)
+	ErrBadLine   = errors.New("want PACKAGE TEST | CAUSE | ISSUE")
+	ErrDuplicate = errors.New("listed twice")
+	ErrTooMany   = fmt.Errorf("more than %d tests", MaxTests)
 )
 
 // Test names a top-level test.
@@ -47,7 +47,7 @@
 	Issue string
 }
 
-// Parse reads a list. For a bad list the error wraps ErrLine, ErrTwice or ErrMany.
+// Parse reads a list. For a bad list the error wraps ErrBadLine, ErrDuplicate or ErrTooMany.
 func Parse(r io.Reader) ([]Entry, error) {
 	var list []Entry
 	seen := map[Test]bool{}
@@ -62,7 +62,7 @@
 			return nil, fmt.Errorf("line %d: %w", n, err)
 		}
 		if seen[e.Test] {
-			return nil, fmt.Errorf("line %d: %s: %w", n, e.Test, ErrTwice)
+			return nil, fmt.Errorf("line %d: %s: %w", n, e.Test, ErrDuplicate)
 		}
 		seen[e.Test] = true
 		list = append(list, e)
@@ -70,8 +70,8 @@
 	if err := lines.Err(); err != nil {
 		return nil, fmt.Errorf("known-red list: %w", err)
 	}
-	if len(list) > Most {
-		return nil, ErrMany
+	if len(list) > MaxTests {
+		return nil, ErrTooMany
 	}
 	return list, nil
 }
@@ -79,11 +79,11 @@
 func parseLine(line string) (Entry, error) {
 	parts := strings.Split(line, "|")
 	if len(parts) != fieldsPerLine {
-		return Entry{}, ErrLine
+		return Entry{}, ErrBadLine
 	}
 	names := strings.Fields(parts[0])
 	if len(names) != 2 || !topLevelName.MatchString(names[1]) {
-		return Entry{}, ErrLine
+		return Entry{}, ErrBadLine
 	}
 	e := Entry{
 		Test:  Test{Package: names[0], Name: names[1]},
@@ -91,7 +91,7 @@
 		Issue: strings.TrimSpace(parts[2]),
 	}
 	if e.Cause == "" || e.Issue == "" {
-		return Entry{}, ErrLine
+		return Entry{}, ErrBadLine
 	}
 	return e, nil
 }
--- a/internal/knownred/list_test.go
+++ b/internal/knownred/list_test.go
@@ -33,18 +33,18 @@
 		text string
 		want error
 	}{
-		{"no cause", "p TestA", knownred.ErrLine},
-		{"no issue", "p TestA | c", knownred.ErrLine},
-		{"an empty cause", "p TestA | | i", knownred.ErrLine},
-		{"an empty issue", "p TestA | c | ", knownred.ErrLine},
-		{"a field too many", "p TestA | c | i | x", knownred.ErrLine},
-		{"no package", "TestA | c | i", knownred.ErrLine},
-		{"two tests", "p TestA TestB | c | i", knownred.ErrLine},
-		{"a subtest", "p TestA/sub | c | i", knownred.ErrLine},
-		{"a pattern", "p Test.* | c | i", knownred.ErrLine},
-		{"a whole package", "p ./... | c | i", knownred.ErrLine},
-		{"a test twice", "p TestA | c | i\np TestA | d | j", knownred.ErrTwice},
-		{"four tests", "p TestA | c | i\np TestB | c | i\np TestC | c | i\np TestD | c | i", knownred.ErrMany},
+		{"no cause", "p TestA", knownred.ErrBadLine},
+		{"no issue", "p TestA | c", knownred.ErrBadLine},
+		{"an empty cause", "p TestA | | i", knownred.ErrBadLine},
+		{"an empty issue", "p TestA | c | ", knownred.ErrBadLine},
+		{"a field too many", "p TestA | c | i | x", knownred.ErrBadLine},
+		{"no package", "TestA | c | i", knownred.ErrBadLine},
+		{"two tests", "p TestA TestB | c | i", knownred.ErrBadLine},
+		{"a subtest", "p TestA/sub | c | i", knownred.ErrBadLine},
+		{"a pattern", "p Test.* | c | i", knownred.ErrBadLine},
+		{"a whole package", "p ./... | c | i", knownred.ErrBadLine},
+		{"a test twice", "p TestA | c | i\np TestA | d | j", knownred.ErrDuplicate},
+		{"four tests", "p TestA | c | i\np TestB | c | i\np TestC | c | i\np TestD | c | i", knownred.ErrTooMany},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -47,16 +47,16 @@
 type Options struct {
 	Caller  Caller
 	Sources []Source
-	// For is how long requests are sent.
-	For time.Duration
+	// Duration is how long requests are sent.
+	Duration time.Duration
 	// Random seeds the arrival times of the sources.
 	Random *rand.Rand
 	// Progress is called once per second with the time since the start, if set.
 	Progress func(elapsed time.Duration, r *Report)
 }
 
-// Steady returns a Rate function with a constant rate.
-func Steady(rate float64) func(time.Duration) float64 {
+// ConstantRate returns a Rate function with a constant rate.
+func ConstantRate(rate float64) func(time.Duration) float64 {
 	return func(time.Duration) float64 { return rate }
 }
 
@@ -157,7 +157,7 @@
 	next := start
 	for n := 0; ; {
 		elapsed := next.Sub(start)
-		if elapsed >= o.For || ctx.Err() != nil {
+		if elapsed >= o.Duration || ctx.Err() != nil {
 			return
 		}
 		rate := s.Rate(elapsed)
@@ -251,8 +251,8 @@
 	return time.Duration(r.latency.ValueAtQuantile(percentile)) * time.Microsecond
 }
 
-// First returns a percentile, from 0 to 100, of the time to the first text.
-func (r *Result) First(percentile float64) time.Duration {
+// FirstTextLatency returns a percentile, from 0 to 100, of the time to the first text.
+func (r *Result) FirstTextLatency(percentile float64) time.Duration {
 	return time.Duration(r.firstText.ValueAtQuantile(percentile)) * time.Microsecond
 }
 
@@ -303,7 +303,7 @@
 	for _, name := range slices.Sorted(maps.Keys(r.Sources)) {
 		s := r.Sources[name]
 		_, _ = fmt.Fprintf(t, "%s\t%d\t%d\t%.2f%%\t%d\t%d\t%d\t%v\t%v\t%v\t%v\t%v\n", name, s.Offered, s.Attained, 100*s.Attainment(),
-			s.Late, s.Wrong, s.Resumed, round(s.Latency(50)), round(s.Latency(95)), round(s.Latency(99)), round(s.First(95)), s.Failures)
+			s.Late, s.Wrong, s.Resumed, round(s.Latency(50)), round(s.Latency(95)), round(s.Latency(99)), round(s.FirstTextLatency(95)), s.Failures)
 	}
 	_, _ = fmt.Fprintln(t, "\nstage\tcalls\twork\tper call\twasted")
 	for _, name := range slices.Sorted(maps.Keys(r.Stages)) {
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -49,11 +49,11 @@
 				Name:     "note",
 				Spec:     func(n int) request.Spec { return request.Spec{Input: strconv.Itoa(n)} },
 				Expect:   func(s request.Spec) string { return "answer to " + s.Input },
-				Rate:     load.Steady(100),
+				Rate:     load.ConstantRate(100),
 				Deadline: time.Second,
 			}},
-			For:    10 * time.Second,
-			Random: rand.New(rand.NewPCG(1, 1)),
+			Duration: 10 * time.Second,
+			Random:   rand.New(rand.NewPCG(1, 1)),
 		})
 		r := report.Sources["note"]
 		assert.Equal(t, r.Offered, int(c.calls.Load()))
--- a/internal/sites/sites.go
+++ b/internal/sites/sites.go
@@ -24,8 +24,8 @@
 type Pool struct {
 	Name string
 	Role published.Role
-	// Runners is the number of servers in the pool.
-	Runners int
+	// Servers is the number of servers in the pool.
+	Servers int
 	// Stage is the stage that a stage pool runs: encode, retrieve or rerank.
 	Stage string
 	// Slots is the number of calls that one server processes concurrently.
@@ -42,8 +42,8 @@
 	Documents []standin.Document
 	// Questions are example inputs for requests.
 	Questions []string
-	// Published replaces the embedded values of the site, if set.
-	Published map[string]string
+	// CustomValues replaces the embedded values of the site, if set.
+	CustomValues map[string]string
 }
 
 // Names of the stages that stage pools run.
@@ -59,14 +59,14 @@
 		Name:  "arhiva-climei",
 		Zones: []string{"cluj-a", "cluj-b", "cluj-c"},
 		Pools: []Pool{
-			{Name: "logbook-readers", Role: published.RoleEngine, Runners: 20, Slots: 8},
-			{Name: "encoders", Role: published.RolePool, Runners: 3, Stage: StageEncode, Slots: 8},
-			{Name: "retrievers", Role: published.RolePool, Runners: 4, Stage: StageRetrieve, Slots: 8},
-			{Name: "rerankers", Role: published.RolePool, Runners: 3, Stage: StageRerank, Slots: 8},
-			{Name: "records-query", Role: published.RoleService, Runners: 3, Slots: 16},
-			{Name: "ledger-intake", Role: published.RoleService, Runners: 5, Slots: 16},
-			{Name: "coop-dashboard", Role: published.RoleService, Runners: 5, Slots: 16},
-			{Name: "accounts-keys", Role: published.RoleService, Runners: 5, Slots: 16},
+			{Name: "logbook-readers", Role: published.RoleEngine, Servers: 20, Slots: 8},
+			{Name: "encoders", Role: published.RolePool, Servers: 3, Stage: StageEncode, Slots: 8},
+			{Name: "retrievers", Role: published.RolePool, Servers: 4, Stage: StageRetrieve, Slots: 8},
+			{Name: "rerankers", Role: published.RolePool, Servers: 3, Stage: StageRerank, Slots: 8},
+			{Name: "records-query", Role: published.RoleService, Servers: 3, Slots: 16},
+			{Name: "ledger-intake", Role: published.RoleService, Servers: 5, Slots: 16},
+			{Name: "coop-dashboard", Role: published.RoleService, Servers: 5, Slots: 16},
+			{Name: "accounts-keys", Role: published.RoleService, Servers: 5, Slots: 16},
 		},
 		Documents: standin.Ledger(),
 		Questions: []string{
@@ -84,14 +84,14 @@
 		Name:  "farbwerk",
 		Zones: []string{"luzern-a", "luzern-b", "luzern-c"},
 		Pools: []Pool{
-			{Name: "language-models", Role: published.RoleEngine, Runners: 10, Slots: 8},
-			{Name: "encoders", Role: published.RolePool, Runners: 3, Stage: StageEncode, Slots: 8},
-			{Name: "retrievers", Role: published.RolePool, Runners: 3, Stage: StageRetrieve, Slots: 8},
-			{Name: "rerankers", Role: published.RolePool, Runners: 3, Stage: StageRerank, Slots: 8},
-			{Name: "mixing-portal", Role: published.RoleService, Runners: 3, Slots: 16},
-			{Name: "customer-accounts", Role: published.RoleService, Runners: 5, Slots: 16},
-			{Name: "invoicing", Role: published.RoleService, Runners: 5, Slots: 16},
-			{Name: "colour-catalogue", Role: published.RoleService, Runners: 5, Slots: 16},
+			{Name: "language-models", Role: published.RoleEngine, Servers: 10, Slots: 8},
+			{Name: "encoders", Role: published.RolePool, Servers: 3, Stage: StageEncode, Slots: 8},
+			{Name: "retrievers", Role: published.RolePool, Servers: 3, Stage: StageRetrieve, Slots: 8},
+			{Name: "rerankers", Role: published.RolePool, Servers: 3, Stage: StageRerank, Slots: 8},
+			{Name: "mixing-portal", Role: published.RoleService, Servers: 3, Slots: 16},
+			{Name: "customer-accounts", Role: published.RoleService, Servers: 5, Slots: 16},
+			{Name: "invoicing", Role: published.RoleService, Servers: 5, Slots: 16},
+			{Name: "colour-catalogue", Role: published.RoleService, Servers: 5, Slots: 16},
 		},
 		Documents: standin.Recipes(),
 		Questions: []string{
@@ -115,15 +115,15 @@
 
 // Values returns the published values of the site by key.
 func (s Site) Values() (map[string]string, error) {
-	if s.Published != nil {
-		return s.Published, nil
+	if s.CustomValues != nil {
+		return s.CustomValues, nil
 	}
-	return Read(files, s.Name)
+	return ReadValues(files, s.Name)
 }
 
-// Read returns the values in the JSON files below a folder. The key of a value is the path of
+// ReadValues returns the values in the JSON files below a folder. The key of a value is the path of
 // its file within the folder without the extension, such as templates/NAME.
-func Read(fsys fs.FS, folder string) (map[string]string, error) {
+func ReadValues(fsys fs.FS, folder string) (map[string]string, error) {
 	values := make(map[string]string)
 	err := fs.WalkDir(fsys, folder, func(name string, entry fs.DirEntry, err error) error {
 		if err != nil || entry.IsDir() || path.Ext(name) != ".json" {
--- a/internal/sites/sites_test.go
+++ b/internal/sites/sites_test.go
@@ -30,9 +30,9 @@
 	files := fstest.MapFS{
 		"site/templates/a.json": {Data: []byte("1")}, "site/notes.txt": {Data: []byte("x")}, "other/b.json": {Data: []byte("2")},
 	}
-	values, err := sites.Read(files, "site")
+	values, err := sites.ReadValues(files, "site")
 	assert.NilError(t, err)
 	assert.DeepEqual(t, values, map[string]string{"templates/a": "1"})
-	_, err = sites.Read(files, "missing")
+	_, err = sites.ReadValues(files, "missing")
 	assert.Assert(t, err != nil)
 }
