--- a/internal/campaign/campaign.go
+++ b/internal/campaign/campaign.go
@@ -27,10 +27,10 @@
 type Options struct {
 	Seed  uint64
 	Nodes int
-	// For is how long faults are injected and requests are sent.
-	For time.Duration
-	// Only, if set, is the only kind of fault to inject.
-	Only string
+	// Duration is how long faults are injected and requests are sent.
+	Duration time.Duration
+	// OnlyKind, if set, is the only kind of fault to inject.
+	OnlyKind string
 }
 
 const (
@@ -130,14 +130,14 @@
 		version: firstVersion,
 	}
 	site, err := harness.New(harness.Options{
-		Site:       Site(),
-		Nodes:      o.Nodes,
-		Network:    harness.Memory{Network: r.network},
-		Knobs:      func(sites.Pool) standin.Knobs { return standin.Knobs{Work: callTime, Jitter: 0.5} },
-		Token:      tokenInterval,
-		WeightRate: 10 << 30,
-		Seed:       o.Seed,
-		Scope:      r.scope,
+		Site:          Site(),
+		Nodes:         o.Nodes,
+		Network:       harness.Memory{Network: r.network},
+		Knobs:         func(sites.Pool) standin.Knobs { return standin.Knobs{CallTime: callTime, Jitter: 0.5} },
+		TokenInterval: tokenInterval,
+		WeightRate:    10 << 30,
+		Seed:          o.Seed,
+		Scope:         r.scope,
 		Settings: func(s *settings.Settings) {
 			s.AnnouncePeriod = time.Second
 			s.DrainTimeout = 3 * time.Second
@@ -164,15 +164,15 @@
 	return 500 * time.Microsecond
 }
 
-// runWorkload injects faults and sends requests for Options.For, and returns once all calls and
-// faults have ended.
+// runWorkload injects faults and sends requests for Options.Duration, and returns once all calls
+// and faults have ended.
 func (r *run) runWorkload(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var watcher sync.WaitGroup
 	watcher.Go(func() { r.checker.watch(ctx) })
 	var tasks sync.WaitGroup
-	end := time.Now().Add(r.options.For)
+	end := time.Now().Add(r.options.Duration)
 	for i := range callerCount {
 		random := rand.New(rand.NewPCG(r.options.Seed, uint64(100+i)))
 		tasks.Go(func() { r.runCaller(ctx, i, random, end) })
--- a/internal/campaign/campaign_test.go
+++ b/internal/campaign/campaign_test.go
@@ -51,11 +51,11 @@
 // TestEachFaultAlone injects each kind of fault alone, so that no check is skipped because of other
 // faults.
 func TestEachFaultAlone(t *testing.T) {
-	for _, kind := range campaign.Kinds() {
+	for _, kind := range campaign.FaultKinds() {
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				r, err := campaign.Run(t.Context(), campaign.Options{Seed: 1, Nodes: 5, For: 16 * time.Second, Only: kind})
+				r, err := campaign.Run(t.Context(), campaign.Options{Seed: 1, Nodes: 5, Duration: 16 * time.Second, OnlyKind: kind})
 				assert.NilError(t, err)
 				for _, b := range r.Breaches {
 					t.Errorf("%s: %s", kind, b)
@@ -73,7 +73,7 @@
 			t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 				t.Parallel()
 				synctest.Test(t, func(t *testing.T) {
-					r, err := campaign.Run(t.Context(), campaign.Options{Seed: seed, Nodes: *nodes, For: 30 * time.Second, Only: *only})
+					r, err := campaign.Run(t.Context(), campaign.Options{Seed: seed, Nodes: *nodes, Duration: 30 * time.Second, OnlyKind: *only})
 					assert.NilError(t, err)
 					for _, b := range r.Breaches {
 						t.Errorf("seed %d: %s", seed, b)
--- a/internal/campaign/check.go
+++ b/internal/campaign/check.go
@@ -111,7 +111,7 @@
 	var lines []line
 	for _, a := range arrivals {
 		id := a.Request.String()
-		lines = append(lines, line{a.Stage, a.pool, a.server.Address.String(), id[len(id)-40:], a.Attempt, a.At})
+		lines = append(lines, line{a.Stage, a.pool, a.server.Address.String(), id[len(id)-40:], a.Attempt, a.StartedAt})
 	}
 	text, _ := json.Marshal(lines)
 	return string(text)
@@ -121,7 +121,7 @@
 func (r *run) checkAnswer(h callRecord) {
 	switch h.spec.Pipeline {
 	case "recipe-explanation", "season-review":
-		want, err := standin.Expected(Site().Documents, h.spec.Input)
+		want, err := standin.ExpectedAnswer(Site().Documents, h.spec.Input)
 		if err != nil || h.answer.Text != want {
 			r.addBreach("%q was answered %q, want %q", h.spec.Input, h.answer.Text, want)
 		}
@@ -164,8 +164,8 @@
 		return
 	}
 	for _, a := range all {
-		if a.server == l.server && a.At.After(l.listedAt.Add(leavingGrace)) && a.At.Before(l.unlistedAt) {
-			r.addBreach("%s got new work %v after it was listed as leaving", a.server.Address, a.At.Sub(l.listedAt))
+		if a.server == l.server && a.StartedAt.After(l.listedAt.Add(leavingGrace)) && a.StartedAt.Before(l.unlistedAt) {
+			r.addBreach("%s got new work %v after it was listed as leaving", a.server.Address, a.StartedAt.Sub(l.listedAt))
 		}
 	}
 }
--- a/internal/campaign/fault.go
+++ b/internal/campaign/fault.go
@@ -31,12 +31,12 @@
 	"cut callers":       cutCallers,
 	"cut servers":       cutServers,
 	"kill server":       killServer,
-	"server fails":      setKnob(func(k *standin.Knobs) { k.Fail = 0.5 }),
-	"server hangs":      setKnob(func(k *standin.Knobs) { k.Hang = 0.3 }),
-	"server mislabels":  setKnob(func(k *standin.Knobs) { k.Mislabel = 0.5 }),
-	"server cuts":       setKnob(func(k *standin.Knobs) { k.Cut = 0.7 }),
-	"server refuses":    setKnob(func(k *standin.Knobs) { k.Refuse = 0.7 }),
-	"server slow":       setKnob(func(k *standin.Knobs) { k.Slow = 20 }),
+	"server fails":      setKnob(func(k *standin.Knobs) { k.FailShare = 0.5 }),
+	"server hangs":      setKnob(func(k *standin.Knobs) { k.HangShare = 0.3 }),
+	"server mislabels":  setKnob(func(k *standin.Knobs) { k.MislabelShare = 0.5 }),
+	"server cuts":       setKnob(func(k *standin.Knobs) { k.CutShare = 0.7 }),
+	"server refuses":    setKnob(func(k *standin.Knobs) { k.RefuseShare = 0.7 }),
+	"server slow":       setKnob(func(k *standin.Knobs) { k.SlowFactor = 20 }),
 	"server leaves":     serverLeaves,
 	"list says leaving": listLeaves,
 	"platform down":     platformDown,
@@ -49,15 +49,15 @@
 	"model version":     publishVersion,
 }
 
-// Kinds returns the names of all kinds of faults in alphabetical order.
-func Kinds() []string {
+// FaultKinds returns the names of all kinds of faults in alphabetical order.
+func FaultKinds() []string {
 	return slices.Sorted(maps.Keys(faults))
 }
 
 func (r *run) injectFaults(tasks *sync.WaitGroup, end time.Time) {
-	kinds := Kinds()
-	if r.options.Only != "" {
-		kinds = []string{r.options.Only}
+	kinds := FaultKinds()
+	if r.options.OnlyKind != "" {
+		kinds = []string{r.options.OnlyKind}
 	}
 	for time.Now().Before(end) {
 		time.Sleep(time.Duration(r.random.ExpFloat64() * float64(meanFaultInterval)))
@@ -272,12 +272,12 @@
 			return nil, 0
 		}
 		var before standin.Knobs
-		s.Set(func(k *standin.Knobs) {
+		s.SetKnobs(func(k *standin.Knobs) {
 			before = *k
 			change(k)
 		})
 		return func() {
-			s.Set(func(k *standin.Knobs) { *k = before })
+			s.SetKnobs(func(k *standin.Knobs) { *k = before })
 			r.unmarkFaulty(name)
 		}, r.randomDuration(500*time.Millisecond, 8*time.Second)
 	}
@@ -290,7 +290,7 @@
 	if !ok {
 		return nil, 0
 	}
-	s.Set(func(k *standin.Knobs) { k.Leaving = true })
+	s.SetKnobs(func(k *standin.Knobs) { k.Leaving = true })
 	return func() {
 		r.keepArrivals(s)
 		r.site.KillServer(s)
@@ -307,7 +307,7 @@
 		return nil, 0
 	}
 	s.Host.Leaving = true
-	if err := r.site.List(s.Host); err != nil {
+	if err := r.site.ListHost(s.Host); err != nil {
 		return nil, 0
 	}
 	r.mu.Lock()
@@ -319,7 +319,7 @@
 		r.listedLeaving[index].unlistedAt = time.Now()
 		r.mu.Unlock()
 		s.Host.Leaving = false
-		if err := r.site.List(s.Host); err != nil {
+		if err := r.site.ListHost(s.Host); err != nil {
 			r.addBreach("list: %v", err)
 		}
 		r.unmarkFaulty(name)
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -154,7 +154,7 @@
 // measures the time from the end of the partition until every node has the value.
 func measureRejoin(s *harness.Site, network *memnet.Network) (time.Duration, error) {
 	zone := s.Nodes()[0].Zone
-	platformAddr := s.Platform().Addr()
+	platformAddr := s.PlatformAddress().Addr()
 	forEachLink := func(set func(from, to netip.Addr)) {
 		for _, a := range s.Nodes() {
 			if a.Zone != zone {
--- a/internal/command/demo.go
+++ b/internal/command/demo.go
@@ -105,10 +105,10 @@
 		Nodes:   c.Nodes,
 		Network: harness.Loopback{},
 		Knobs: func(sites.Pool) standin.Knobs {
-			return standin.Knobs{Work: 5 * time.Millisecond, Jitter: 0.3}
+			return standin.Knobs{CallTime: 5 * time.Millisecond, Jitter: 0.3}
 		},
-		Token:    3 * time.Millisecond,
-		Settings: func(s *settings.Settings) { s.AnnouncePeriod = time.Second },
+		TokenInterval: 3 * time.Millisecond,
+		Settings:      func(s *settings.Settings) { s.AnnouncePeriod = time.Second },
 	})
 	if err != nil {
 		return err
@@ -151,7 +151,7 @@
 	time.AfterFunc(c.For/2, func() { running.KillServer(running.Servers(d.enginePool)[0]) })
 	expected := make(map[string]string)
 	for _, q := range d.site.Questions {
-		text, err := standin.Expected(d.site.Documents, q)
+		text, err := standin.ExpectedAnswer(d.site.Documents, q)
 		if err != nil {
 			return err
 		}
--- a/internal/command/standin.go
+++ b/internal/command/standin.go
@@ -36,10 +36,10 @@
 		return fmt.Errorf("%w: %w", errUsage, err)
 	}
 	running, err := harness.New(harness.Options{
-		Site:    site,
-		Network: harness.Loopback{},
-		Token:   s.TokenInterval,
-		Knobs:   func(sites.Pool) standin.Knobs { return standin.Knobs{Work: s.CallTime, Fail: s.FailShare} },
+		Site:          site,
+		Network:       harness.Loopback{},
+		TokenInterval: s.TokenInterval,
+		Knobs:         func(sites.Pool) standin.Knobs { return standin.Knobs{CallTime: s.CallTime, FailShare: s.FailShare} },
 	})
 	if err != nil {
 		return err
@@ -48,7 +48,7 @@
 	if err := writeNodeSettings(o, running, site, s); err != nil {
 		return err
 	}
-	o.printf("platform %s with %d backend servers; end with a signal\n", running.Platform(), len(running.Servers("")))
+	o.printf("platform %s with %d backend servers; end with a signal\n", running.PlatformAddress(), len(running.Servers("")))
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	<-ctx.Done()
@@ -67,7 +67,7 @@
 			return err
 		}
 		zone := site.Zones[i%len(site.Zones)]
-		if err := running.List(published.Host{Address: caller, Peer: peer, Role: published.RoleEntry, Zone: zone}); err != nil {
+		if err := running.ListHost(published.Host{Address: caller, Peer: peer, Role: published.RoleEntry, Zone: zone}); err != nil {
 			return err
 		}
 		file := ini.Empty()
@@ -75,7 +75,7 @@
 			{"node", "caller", caller.String()},
 			{"node", "peer", peer.String()},
 			{"node", "zone", zone},
-			{"platform", "addresses", running.Platform().String()},
+			{"platform", "addresses", running.PlatformAddress().String()},
 			{"stop", "announce", (2 * time.Second).String()},
 		} {
 			file.Section(kv[0]).Key(kv[1]).SetValue(kv[2])
--- a/internal/experiment/case.go
+++ b/internal/experiment/case.go
@@ -134,7 +134,7 @@
 	return func(s *harness.Site) {
 		for i, server := range s.Servers(pool) {
 			if index < 0 || i == index {
-				server.Set(func(k *standin.Knobs) { k.Slow = factor })
+				server.SetKnobs(func(k *standin.Knobs) { k.SlowFactor = factor })
 			}
 		}
 	}
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -80,14 +80,14 @@
 // Run runs one case under one policy. It must be called in a synctest bubble.
 func Run(ctx context.Context, c Case, p Policy, seed uint64) (Outcome, error) {
 	o := harness.Options{
-		Site:    c.size.site(),
-		Nodes:   entryHostCount,
-		Network: harness.Memory{Network: memnet.New(latency)},
-		Knobs:   func(pool sites.Pool) standin.Knobs { return knobs(c, pool) },
-		Token:   tokenTime,
-		Cold:    c.coldStart,
-		Policy:  p.Policy,
-		Seed:    seed,
+		Site:          c.size.site(),
+		Nodes:         entryHostCount,
+		Network:       harness.Memory{Network: memnet.New(latency)},
+		Knobs:         func(pool sites.Pool) standin.Knobs { return knobs(c, pool) },
+		TokenInterval: tokenTime,
+		Cold:          c.coldStart,
+		Policy:        p.Policy,
+		Seed:          seed,
 	}
 	if c.coldStart {
 		o.WeightRate = weightRate
@@ -122,9 +122,9 @@
 }
 
 func knobs(c Case, pool sites.Pool) standin.Knobs {
-	k := standin.Knobs{Work: stageWork(pool.Name), Jitter: jitter, ReportLag: c.reportLag}
+	k := standin.Knobs{CallTime: stageWork(pool.Name), Jitter: jitter, ReportLag: c.reportLag}
 	if pool.Name == "generate" {
-		k.Work = prefillWork
+		k.CallTime = prefillWork
 	}
 	return k
 }
--- a/internal/harness/harness.go
+++ b/internal/harness/harness.go
@@ -50,15 +50,15 @@
 	// Knobs returns the initial behaviour of the servers of a pool. If it is nil they answer
 	// at once and without faults.
 	Knobs func(p sites.Pool) standin.Knobs
-	// Token is the time between two tokens of a stream of an engine.
-	Token time.Duration
+	// TokenInterval is the time between two tokens of a stream of an engine.
+	TokenInterval time.Duration
 	// Cold starts the engines without loaded models.
 	Cold bool
 	// WeightRate is the rate of the weight store in bytes per second. If it is 0, engines load
 	// weights at once.
 	WeightRate int64
-	// Unchecked makes the engines accept any order, whatever its fence.
-	Unchecked bool
+	// IgnoreFences makes the engines accept any order, whatever its fence.
+	IgnoreFences bool
 	// Settings, if set, changes the settings of each node.
 	Settings func(s *settings.Settings)
 	Policy   node.Policy
@@ -72,7 +72,7 @@
 type Site struct {
 	options         Options
 	Configuration   *standin.Configuration
-	Weights         *standin.Weights
+	Weights         *standin.WeightStore
 	platformAddress netip.AddrPort
 
 	mu          sync.Mutex
@@ -129,7 +129,7 @@
 		}
 	}
 	if s.options.WeightRate > 0 {
-		s.Weights = standin.NewWeights(s.options.WeightRate, sizes)
+		s.Weights = standin.NewWeightStore(s.options.WeightRate, sizes)
 	}
 	s.platformAddress, err = s.options.Network.Address(platformNumber, platformPort)
 	if err != nil {
@@ -175,8 +175,8 @@
 	return s.options.Site.Zones[i%len(s.options.Site.Zones)]
 }
 
-// List publishes a host in the host list.
-func (s *Site) List(h published.Host) error {
+// ListHost publishes a host in the host list.
+func (s *Site) ListHost(h published.Host) error {
 	data, err := json.Marshal(h)
 	if err != nil {
 		return err
@@ -234,7 +234,7 @@
 	}
 }
 
-// Platform returns the address of the configuration service.
-func (s *Site) Platform() netip.AddrPort {
+// PlatformAddress returns the address of the configuration service.
+func (s *Site) PlatformAddress() netip.AddrPort {
 	return s.platformAddress
 }
--- a/internal/harness/harness_test.go
+++ b/internal/harness/harness_test.go
@@ -23,11 +23,11 @@
 		t.Run(site.Name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s, err := harness.New(harness.Options{
-					Site:    site,
-					Nodes:   3,
-					Network: harness.Memory{Network: memnet.New(nil)},
-					Knobs:   func(sites.Pool) standin.Knobs { return standin.Knobs{Work: 5 * time.Millisecond} },
-					Token:   2 * time.Millisecond,
+					Site:          site,
+					Nodes:         3,
+					Network:       harness.Memory{Network: memnet.New(nil)},
+					Knobs:         func(sites.Pool) standin.Knobs { return standin.Knobs{CallTime: 5 * time.Millisecond} },
+					TokenInterval: 2 * time.Millisecond,
 				})
 				assert.NilError(t, err)
 				defer s.Close()
@@ -43,7 +43,7 @@
 					spec.Input = question
 					got, err := s.Client("").Do(ctx, spec)
 					assert.NilError(t, err)
-					want, err := standin.Expected(site.Documents, question)
+					want, err := standin.ExpectedAnswer(site.Documents, question)
 					assert.NilError(t, err)
 					assert.Equal(t, got.Text, want)
 				}
--- a/internal/harness/node.go
+++ b/internal/harness/node.go
@@ -40,7 +40,7 @@
 	n := &Node{Caller: caller, Peer: peer, Zone: s.zoneFor(i)}
 	s.nodes = append(s.nodes, n)
 	host := published.Host{Address: caller, Peer: peer, Role: published.RoleEntry, Zone: n.Zone}
-	if err := s.List(host); err != nil {
+	if err := s.ListHost(host); err != nil {
 		return err
 	}
 	return s.StartNode(i)
@@ -69,7 +69,7 @@
 		Table:          s.options.Table,
 	}
 	if m, ok := s.options.Network.(Memory); ok {
-		o.BeforeTick = func() { m.Await(n.Caller.Addr()) }
+		o.BeforeTick = func() { m.AwaitUnfrozen(n.Caller.Addr()) }
 	}
 	n.startCount++
 	n.Node = node.New(o)
--- a/internal/harness/server.go
+++ b/internal/harness/server.go
@@ -27,13 +27,13 @@
 	http   *http.Server
 }
 
-// Set changes the knobs of the server.
-func (s *Server) Set(change func(k *standin.Knobs)) {
+// SetKnobs changes the knobs of the server.
+func (s *Server) SetKnobs(change func(k *standin.Knobs)) {
 	if s.Engine != nil {
-		s.Engine.Set(change)
+		s.Engine.SetKnobs(change)
 		return
 	}
-	s.Runner.Set(change)
+	s.Runner.SetKnobs(change)
 }
 
 // Arrivals returns the calls that the server has started to run, oldest first.
@@ -62,14 +62,14 @@
 					Role:         p.Role,
 					Pool:         p.Name,
 					Zone:         s.zoneFor(i),
-					ChecksOrders: p.Role == published.RoleEngine && !s.options.Unchecked,
+					ChecksOrders: p.Role == published.RoleEngine && !s.options.IgnoreFences,
 				},
 			}
 			if err := s.StartServer(server); err != nil {
 				return err
 			}
 			s.servers = append(s.servers, server)
-			if err := s.List(server.Host); err != nil {
+			if err := s.ListHost(server.Host); err != nil {
 				return err
 			}
 		}
@@ -100,9 +100,9 @@
 const engineMemoryBytes = 80 << 30
 
 func (s *Site) engineOptions(o standin.Options) standin.EngineOptions {
-	e := standin.EngineOptions{Options: o, Token: s.options.Token, MemoryBytes: engineMemoryBytes, Unchecked: s.options.Unchecked}
+	e := standin.EngineOptions{Options: o, TokenInterval: s.options.TokenInterval, MemoryBytes: engineMemoryBytes, IgnoreFences: s.options.IgnoreFences}
 	if s.Weights != nil {
-		e.Weights = s.Weights.Fetch
+		e.FetchWeights = s.Weights.Fetch
 	}
 	if s.options.Cold || s.initialServersStarted {
 		// A replaced engine starts without models, because its state is not persistent.
@@ -134,7 +134,7 @@
 	case sites.StageRerank:
 		return standin.Rerank
 	default:
-		return standin.Serve(p.Name)
+		return standin.PlainServiceJob(p.Name)
 	}
 }
 
--- a/internal/memnet/memnet.go
+++ b/internal/memnet/memnet.go
@@ -114,8 +114,8 @@
 	})
 }
 
-// Await blocks while the host is frozen.
-func (n *Network) Await(host netip.Addr) {
+// AwaitUnfrozen blocks while the host is frozen.
+func (n *Network) AwaitUnfrozen(host netip.Addr) {
 	for {
 		n.mu.Lock()
 		frozen, changed := n.frozen[host], n.changed
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -35,12 +35,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		network := memnet.New(nil)
 		s, err := harness.New(harness.Options{
-			Site:     sites.Farbwerk(),
-			Nodes:    1,
-			Network:  harness.Memory{Network: network},
-			Knobs:    func(sites.Pool) standin.Knobs { return standin.Knobs{Work: 5 * time.Millisecond} },
-			Token:    10 * time.Millisecond,
-			Settings: func(s *settings.Settings) { s.MaxCallers = 40 },
+			Site:          sites.Farbwerk(),
+			Nodes:         1,
+			Network:       harness.Memory{Network: network},
+			Knobs:         func(sites.Pool) standin.Knobs { return standin.Knobs{CallTime: 5 * time.Millisecond} },
+			TokenInterval: 10 * time.Millisecond,
+			Settings:      func(s *settings.Settings) { s.MaxCallers = 40 },
 		})
 		assert.NilError(t, err)
 		defer s.Close()
--- a/internal/scenario/call.go
+++ b/internal/scenario/call.go
@@ -28,7 +28,7 @@
 
 // send sends a request in the background:
 // send NAME WORKSPACE PIPELINE INPUT [unrepeatable] [deadline=TIME].
-func (env *World) send(args []string) error {
+func (env *Environment) send(args []string) error {
 	if len(args) < 4 {
 		return errUsage
 	}
@@ -61,7 +61,7 @@
 
 // await waits for a request and checks its outcome: await NAME answered, or
 // await NAME VERDICT REASON. The answer to a question must be exactly the expected text.
-func (env *World) await(args []string) error {
+func (env *Environment) await(args []string) error {
 	if len(args) < 2 {
 		return errUsage
 	}
@@ -100,7 +100,7 @@
 		}
 		return nil
 	}
-	want, err := standin.Expected(sites.Farbwerk().Documents, c.spec.Input)
+	want, err := standin.ExpectedAnswer(sites.Farbwerk().Documents, c.spec.Input)
 	if err != nil {
 		return err
 	}
@@ -112,7 +112,7 @@
 
 // arrivals checks how many calls the servers of a pool have started to run for a request:
 // arrivals NAME POOL COUNT.
-func (env *World) arrivals(args []string) error {
+func (env *Environment) arrivals(args []string) error {
 	if len(args) != 3 {
 		return errUsage
 	}
--- a/internal/scenario/check.go
+++ b/internal/scenario/check.go
@@ -13,7 +13,7 @@
 
 // eventually waits until check succeeds on each running node. It returns the last error if it does
 // not within the duration in text.
-func (env *World) eventually(text string, check func(d node.Dump) error) error {
+func (env *Environment) eventually(text string, check func(d node.Dump) error) error {
 	within, err := time.ParseDuration(text)
 	if err != nil {
 		return err
@@ -40,7 +40,7 @@
 
 // inForce checks that all running nodes use a revision of a key within a time:
 // inforce KEY REVISION TIME.
-func (env *World) inForce(args []string) error {
+func (env *Environment) inForce(args []string) error {
 	if len(args) != 3 {
 		return errUsage
 	}
@@ -58,7 +58,7 @@
 
 // member checks that all running nodes that have a node in their view see it in a state within a
 // time: member node:I STATE TIME.
-func (env *World) member(args []string) error {
+func (env *Environment) member(args []string) error {
 	if len(args) != 3 {
 		return errUsage
 	}
@@ -79,7 +79,7 @@
 
 // leaving checks that all running nodes know within a time that a server is leaving:
 // leaving POOL:I TIME.
-func (env *World) leaving(args []string) error {
+func (env *Environment) leaving(args []string) error {
 	if len(args) != 2 {
 		return errUsage
 	}
--- a/internal/scenario/fault.go
+++ b/internal/scenario/fault.go
@@ -16,7 +16,7 @@
 )
 
 // crash kills nodes and backend servers: crash NAME...
-func (env *World) crash(args []string) error {
+func (env *Environment) crash(args []string) error {
 	for _, name := range args {
 		if i, ok := nodeIndex(name); ok {
 			env.site.KillNode(i)
@@ -32,7 +32,7 @@
 }
 
 // restart starts killed or stopped nodes and backend servers as new instances: restart NAME...
-func (env *World) restart(args []string) error {
+func (env *Environment) restart(args []string) error {
 	for _, name := range args {
 		if i, ok := nodeIndex(name); ok {
 			if err := env.site.StartNode(i); err != nil {
@@ -54,7 +54,7 @@
 
 // drain starts a planned stop of a node, and with wait also waits for its end:
 // drain node:I [wait].
-func (env *World) drain(args []string) error {
+func (env *Environment) drain(args []string) error {
 	if len(args) < 1 {
 		return errUsage
 	}
@@ -75,7 +75,7 @@
 	}
 }
 
-func (env *World) freeze(args []string, frozen bool) error {
+func (env *Environment) freeze(args []string, frozen bool) error {
 	for _, name := range args {
 		hosts, err := env.hosts(name)
 		if err != nil {
@@ -87,7 +87,7 @@
 }
 
 // cut delays all data from one host to another, or in both directions: cut FROM TO [both].
-func (env *World) cut(args []string) error {
+func (env *Environment) cut(args []string) error {
 	if len(args) < 2 {
 		return errUsage
 	}
@@ -103,13 +103,13 @@
 	return nil
 }
 
-func (env *World) heal([]string) error {
+func (env *Environment) heal([]string) error {
 	env.network.HealAll()
 	return nil
 }
 
 // set changes a knob of a backend server: set POOL:I KNOB VALUE.
-func (env *World) set(args []string) error {
+func (env *Environment) set(args []string) error {
 	if len(args) != 3 {
 		return errUsage
 	}
@@ -122,20 +122,20 @@
 		return err
 	}
 	known := true
-	s.Set(func(k *standin.Knobs) {
+	s.SetKnobs(func(k *standin.Knobs) {
 		switch args[1] {
 		case "fail":
-			k.Fail = value
+			k.FailShare = value
 		case "hang":
-			k.Hang = value
+			k.HangShare = value
 		case "refuse":
-			k.Refuse = value
+			k.RefuseShare = value
 		case "mislabel":
-			k.Mislabel = value
+			k.MislabelShare = value
 		case "cut":
-			k.Cut = value
+			k.CutShare = value
 		case "slow":
-			k.Slow = value
+			k.SlowFactor = value
 		case "leaving":
 			k.Leaving = value > 0
 		default:
@@ -150,7 +150,7 @@
 
 // platform makes the configuration service answer, refuse all calls, or answer with the state at an
 // older revision: platform up | down | stale REVISION [node:I] | fresh [node:I].
-func (env *World) platform(args []string) error {
+func (env *Environment) platform(args []string) error {
 	c := env.site.Configuration
 	reader := netip.Addr{}
 	if len(args) > 1 && strings.HasPrefix(args[len(args)-1], "node:") {
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -22,12 +22,12 @@
 	"github.com/wingvale/wingvale/internal/standin"
 )
 
-// World is the site that one script runs against.
-type World struct {
+// Environment is the site that one script runs against.
+type Environment struct {
 	network *memnet.Network
 	site    *harness.Site
 
-	// ctx ends the calls when the World is closed.
+	// ctx ends the calls when the Environment is closed.
 	ctx    context.Context
 	cancel context.CancelFunc
 
@@ -41,14 +41,14 @@
 	pollInterval = 20 * time.Millisecond
 )
 
-// New returns a World without a site. The command site creates the site.
-func New() *World {
+// New returns an Environment without a site. The command site creates the site.
+func New() *Environment {
 	ctx, cancel := context.WithCancel(context.Background())
-	return &World{ctx: ctx, cancel: cancel, calls: make(map[string]*call)}
+	return &Environment{ctx: ctx, cancel: cancel, calls: make(map[string]*call)}
 }
 
 // Close ends the calls and the site.
-func (env *World) Close() {
+func (env *Environment) Close() {
 	env.cancel()
 	for _, c := range env.calls {
 		<-c.done
@@ -63,7 +63,7 @@
 
 // Commands returns the commands of the language. A command that returns an error fails the script.
 // With "!" before it a command must fail.
-func (env *World) Commands() map[string]func(ts *testscript.TestScript, neg bool, args []string) {
+func (env *Environment) Commands() map[string]func(ts *testscript.TestScript, neg bool, args []string) {
 	commands := map[string]func(args []string) error{
 		"site":     env.startSite,
 		"send":     env.send,
@@ -104,7 +104,7 @@
 
 // startSite creates the site and waits until its nodes are ready:
 // site NODES [token=TIME] [work=TIME].
-func (env *World) startSite(args []string) error {
+func (env *Environment) startSite(args []string) error {
 	if len(args) < 1 {
 		return errUsage
 	}
@@ -130,11 +130,11 @@
 	}
 	env.network = memnet.New(func(netip.Addr, netip.Addr) time.Duration { return 500 * time.Microsecond })
 	env.site, err = harness.New(harness.Options{
-		Site:    sites.Farbwerk(),
-		Nodes:   nodes,
-		Network: harness.Memory{Network: env.network},
-		Knobs:   func(sites.Pool) standin.Knobs { return standin.Knobs{Work: work} },
-		Token:   token,
+		Site:          sites.Farbwerk(),
+		Nodes:         nodes,
+		Network:       harness.Memory{Network: env.network},
+		Knobs:         func(sites.Pool) standin.Knobs { return standin.Knobs{CallTime: work} },
+		TokenInterval: token,
 	})
 	if err != nil {
 		return err
@@ -145,10 +145,10 @@
 }
 
 // hosts returns the addresses of the host with a name: node:I, POOL:I or platform.
-func (env *World) hosts(name string) ([]netip.Addr, error) {
+func (env *Environment) hosts(name string) ([]netip.Addr, error) {
 	kind, index, _ := strings.Cut(name, ":")
 	if kind == "platform" {
-		return []netip.Addr{env.site.Platform().Addr()}, nil
+		return []netip.Addr{env.site.PlatformAddress().Addr()}, nil
 	}
 	i, err := strconv.Atoi(index)
 	if err != nil {
@@ -164,7 +164,7 @@
 	return []netip.Addr{s.Address.Addr()}, nil
 }
 
-func (env *World) server(name string) (*harness.Server, error) {
+func (env *Environment) server(name string) (*harness.Server, error) {
 	pool, index, _ := strings.Cut(name, ":")
 	i, err := strconv.Atoi(index)
 	servers := env.site.Servers(pool)
@@ -181,7 +181,7 @@
 }
 
 // publish publishes a value of a key: publish KEY VALUE.
-func (env *World) publish(args []string) error {
+func (env *Environment) publish(args []string) error {
 	if len(args) != 2 {
 		return errUsage
 	}
@@ -189,7 +189,7 @@
 	return nil
 }
 
-func (env *World) remove(args []string) error {
+func (env *Environment) remove(args []string) error {
 	if len(args) != 1 {
 		return errUsage
 	}
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -32,7 +32,7 @@
 	f(t)
 }
 
-// Fatal fails the test and ends the script only, so that its World is still closed.
+// Fatal fails the test and ends the script only, so that its Environment is still closed.
 func (t inlineT) Fatal(args ...any) {
 	t.Error(args...)
 	panic(scriptFailed{})
--- a/internal/sites/sites.go
+++ b/internal/sites/sites.go
@@ -68,7 +68,7 @@
 			{Name: "coop-dashboard", Role: published.RoleService, Servers: 5, Slots: 16},
 			{Name: "accounts-keys", Role: published.RoleService, Servers: 5, Slots: 16},
 		},
-		Documents: standin.Ledger(),
+		Documents: standin.ClimateRecords(),
 		Questions: []string{
 			"How hot was July 1904 at Cluj station?",
 			"Which months of drought did Turda station see in August 1946?",
--- a/internal/standin/data.go
+++ b/internal/standin/data.go
@@ -29,13 +29,13 @@
 	Vector []float64 `json:"vector"`
 }
 
-// Found is the result of a retriever or reranker stage, the best documents first.
-type Found struct {
+// RankedDocuments is the result of a retriever or reranker stage, the best documents first.
+type RankedDocuments struct {
 	Documents []Document `json:"documents"`
 }
 
-// Ledger returns the data set of a weather archive.
-func Ledger() []Document {
+// ClimateRecords returns the data set of a weather archive.
+func ClimateRecords() []Document {
 	return []Document{
 		{ID: "cluj-1904-07", Text: "Cluj station, July 1904: 31.2 degrees at noon, no rain for 23 days, the Somes stood low."},
 		{ID: "cluj-1931-02", Text: "Cluj station, February 1931: minus 24.8 degrees at dawn, snow to 61 centimetres."},
@@ -114,14 +114,14 @@
 		for i := range ranked {
 			ranked[i].Score = dot(in.Vector, Embed(ranked[i].Text))
 		}
-		return json.Marshal(Found{Documents: topDocuments(ranked, retrievedCount)})
+		return json.Marshal(RankedDocuments{Documents: topDocuments(ranked, retrievedCount)})
 	}
 }
 
 // Rerank is the Job of a reranker stage. Documents that share more words with the question come
 // first.
 func Rerank(call protocol.StageCall) (json.RawMessage, error) {
-	var in Found
+	var in RankedDocuments
 	if len(call.Previous) > 0 {
 		if err := json.Unmarshal(call.Previous, &in); err != nil {
 			return nil, err
@@ -138,7 +138,7 @@
 		}
 		in.Documents[i].Score = float64(shared)
 	}
-	return json.Marshal(Found{Documents: topDocuments(in.Documents, rerankedCount)})
+	return json.Marshal(RankedDocuments{Documents: topDocuments(in.Documents, rerankedCount)})
 }
 
 func dot(a, b []float64) float64 {
@@ -176,12 +176,12 @@
 	return min(max(n, 1), maxRepeats)
 }
 
-// Compose returns the answer of an engine to a prompt: the first document in the prompt, or the
-// last line of the prompt if it has no document. For a question that ends in "N times" the answer
-// is repeated N times, which makes a long stream.
-func Compose(prompt string) string {
+// ComposeAnswer returns the answer of an engine to a prompt: the first document in the prompt, or
+// the last line of the prompt if it has no document. For a question that ends in "N times" the
+// answer is repeated N times, which makes a long stream.
+func ComposeAnswer(prompt string) string {
 	for line := range strings.Lines(prompt) {
-		var in Found
+		var in RankedDocuments
 		if json.Unmarshal([]byte(strings.TrimSpace(line)), &in) == nil && len(in.Documents) > 0 {
 			answer := fmt.Sprintf("%s [%s]", in.Documents[0].Text, in.Documents[0].ID)
 			return strings.Join(slices.Repeat([]string{answer}, repeatCount(prompt)), " ")
@@ -191,8 +191,8 @@
 	return lines[len(lines)-1]
 }
 
-// Expected returns the exact text that the four stages must answer to input.
-func Expected(documents []Document, input string) (string, error) {
+// ExpectedAnswer returns the exact text that the four stages must answer to input.
+func ExpectedAnswer(documents []Document, input string) (string, error) {
 	encoded, err := Encode(protocol.StageCall{Input: input})
 	if err != nil {
 		return "", err
@@ -205,7 +205,7 @@
 	if err != nil {
 		return "", err
 	}
-	return Compose(string(reranked) + "\n" + input), nil
+	return ComposeAnswer(string(reranked) + "\n" + input), nil
 }
 
 // Receipt is the result of a call to a plain service.
@@ -215,8 +215,8 @@
 	Input   string `json:"input"`
 }
 
-// Serve returns the Job of a plain service, which returns a Receipt for the call.
-func Serve(name string) Job {
+// PlainServiceJob returns the Job of a plain service, which returns a Receipt for the call.
+func PlainServiceJob(name string) Job {
 	return func(call protocol.StageCall) (json.RawMessage, error) {
 		return json.Marshal(Receipt{Service: name, Request: call.Request.String(), Input: call.Input})
 	}
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -22,19 +22,19 @@
 // EngineOptions configure an Engine.
 type EngineOptions struct {
 	Options
-	// Token is the time between two tokens of a stream.
-	Token time.Duration
+	// TokenInterval is the time between two tokens of a stream.
+	TokenInterval time.Duration
 	// Models are the models that are loaded at the start.
 	Models []protocol.LoadedModel
 	// MemoryBytes is the memory for all models, which the engine reports.
 	MemoryBytes int64
-	// Unchecked makes the engine accept any order, whatever its fence.
-	Unchecked bool
-	// Weights fetches the weights of a model and returns their size in bytes. If it is nil,
+	// IgnoreFences makes the engine accept any order, whatever its fence.
+	IgnoreFences bool
+	// FetchWeights fetches the weights of a model and returns their size in bytes. If it is nil,
 	// models are loaded at once.
-	Weights func(ctx context.Context, model, version string) (int64, error)
-	// Keep is how long an ended stream can still be resumed. The default is one minute.
-	Keep time.Duration
+	FetchWeights func(ctx context.Context, model, version string) (int64, error)
+	// StreamRetention is how long an ended stream can still be resumed. The default is one minute.
+	StreamRetention time.Duration
 }
 
 // Engine is a stand-in for a model engine. The caller must call Close.
@@ -58,8 +58,8 @@
 
 // NewEngine returns an Engine.
 func NewEngine(o EngineOptions) *Engine {
-	if o.Keep <= 0 {
-		o.Keep = time.Minute
+	if o.StreamRetention <= 0 {
+		o.StreamRetention = time.Minute
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Engine{
@@ -171,7 +171,7 @@
 
 func (e *Engine) removeStreamLater(s *stream) {
 	e.background.Go(func() {
-		sleep(e.ctx, e.options.Keep)
+		sleep(e.ctx, e.options.StreamRetention)
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		delete(e.streams, s.id)
@@ -189,7 +189,7 @@
 		s.finish(usage, true)
 		return
 	}
-	tokens := strings.SplitAfter(Compose(body.Prompt), " ")
+	tokens := strings.SplitAfter(ComposeAnswer(body.Prompt), " ")
 	if body.MaxTokens > 0 {
 		tokens = tokens[:min(body.MaxTokens, len(tokens))]
 	}
@@ -206,10 +206,10 @@
 
 func (e *Engine) tokenInterval() time.Duration {
 	k := e.currentKnobs()
-	if k.Slow > 0 {
-		return time.Duration(float64(e.options.Token) * k.Slow)
+	if k.SlowFactor > 0 {
+		return time.Duration(float64(e.options.TokenInterval) * k.SlowFactor)
 	}
-	return e.options.Token
+	return e.options.TokenInterval
 }
 
 // sleep waits for d. It reports false if ctx is done before.
--- a/internal/standin/knobs.go
+++ b/internal/standin/knobs.go
@@ -11,22 +11,22 @@
 
 // Knobs configure the behaviour and the faults of a backend server. They may change at any time.
 type Knobs struct {
-	// Work is the duration of a call. It varies at random by up to the share Jitter in either
+	// CallTime is the duration of a call. It varies at random by up to the share Jitter in either
 	// direction.
-	Work   time.Duration
-	Jitter float64
-	// Slow is a factor for Work and for the time between tokens. 0 means 1.
-	Slow float64
-	// Fail is the share of calls that fail with status 500 after the work is done.
-	Fail float64
-	// Refuse is the share of calls that are refused before they start.
-	Refuse float64
-	// Hang is the share of calls that are never answered.
-	Hang float64
-	// Mislabel is the share of answers that have the name and the result of another request.
-	Mislabel float64
-	// Cut is the share of streams whose connection is closed in the middle.
-	Cut float64
+	CallTime time.Duration
+	Jitter   float64
+	// SlowFactor is a factor for CallTime and for the time between tokens. 0 means 1.
+	SlowFactor float64
+	// FailShare is the share of calls that fail with status 500 after the work is done.
+	FailShare float64
+	// RefuseShare is the share of calls that are refused before they start.
+	RefuseShare float64
+	// HangShare is the share of calls that are never answered.
+	HangShare float64
+	// MislabelShare is the share of answers that have the name and the result of another request.
+	MislabelShare float64
+	// CutShare is the share of streams whose connection is closed in the middle.
+	CutShare float64
 	// ReportLag is the age of the load that answers report.
 	ReportLag time.Duration
 	// EventLag is the delay of cache events, and EventGap the share of calls whose cache events
@@ -75,9 +75,9 @@
 func (b *behaviour) callTime() time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	seconds := b.knobs.Work.Seconds()
-	if b.knobs.Slow > 0 {
-		seconds *= b.knobs.Slow
+	seconds := b.knobs.CallTime.Seconds()
+	if b.knobs.SlowFactor > 0 {
+		seconds *= b.knobs.SlowFactor
 	}
 	seconds *= 1 + b.knobs.Jitter*(2*b.random.Float64()-1)
 	return time.Duration(seconds * float64(time.Second))
--- a/internal/standin/order.go
+++ b/internal/standin/order.go
@@ -26,7 +26,7 @@
 		return
 	}
 	e.mu.Lock()
-	if o.Fence <= e.fence && !e.options.Unchecked {
+	if o.Fence <= e.fence && !e.options.IgnoreFences {
 		e.mu.Unlock()
 		e.refuse(w, r, http.StatusConflict, "an order with this fence or a higher one was taken")
 		return
@@ -55,9 +55,9 @@
 
 func (e *Engine) loadModel(o protocol.Order) {
 	size := int64(0)
-	if e.options.Weights != nil {
+	if e.options.FetchWeights != nil {
 		var err error
-		size, err = e.options.Weights(e.ctx, o.Model, o.Version)
+		size, err = e.options.FetchWeights(e.ctx, o.Model, o.Version)
 		if err != nil {
 			return
 		}
--- a/internal/standin/pool.go
+++ b/internal/standin/pool.go
@@ -71,14 +71,14 @@
 	}
 	defer p.slots.release()
 	arrival := p.recordArrival(call, body.Input)
-	if p.withProbability(p.currentKnobs().Hang) {
+	if p.withProbability(p.currentKnobs().HangShare) {
 		<-r.Context().Done()
 		return
 	}
 	time.Sleep(p.callTime())
 	result, err := p.job(body)
 	p.markFinished(arrival)
-	if err != nil || p.withProbability(p.currentKnobs().Fail) {
+	if err != nil || p.withProbability(p.currentKnobs().FailShare) {
 		p.fail(w, r, "failed")
 		return
 	}
@@ -88,7 +88,7 @@
 func (p *Pool) writeAnswer(w http.ResponseWriter, r *http.Request, body protocol.StageCall, result json.RawMessage) {
 	p.setHeaders(w, r)
 	previous := p.swapLastAnswer(body, result)
-	if previous != nil && p.withProbability(p.currentKnobs().Mislabel) {
+	if previous != nil && p.withProbability(p.currentKnobs().MislabelShare) {
 		// Inject the fault: answer with the result and the name of another call.
 		w.Header().Set(protocol.HeaderRequest, previous.body.Request.String())
 		body, result = previous.body, previous.result
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -22,8 +22,8 @@
 	Stage   string
 	Attempt int
 	// Input is the text of the caller's request.
-	Input string
-	At    time.Time
+	Input     string
+	StartedAt time.Time
 	// Finished reports whether the work is done, even if the caller did not get the result.
 	Finished bool
 }
@@ -55,8 +55,8 @@
 	return &server{behaviour: newBehaviour(o.Knobs, o.Seed), slots: newSlots(o.Slots), instance: o.Instance}
 }
 
-// Set changes the knobs of the server.
-func (s *server) Set(change func(k *Knobs)) {
+// SetKnobs changes the knobs of the server.
+func (s *server) SetKnobs(change func(k *Knobs)) {
 	s.updateKnobs(change)
 }
 
@@ -75,7 +75,7 @@
 const maxArrivals = 1 << 16
 
 func (s *server) recordArrival(c backend.Call, input string) *Arrival {
-	a := &Arrival{Request: c.Request, Stage: c.Stage, Attempt: c.Attempt, Input: input, At: time.Now()}
+	a := &Arrival{Request: c.Request, Stage: c.Stage, Attempt: c.Attempt, Input: input, StartedAt: time.Now()}
 	s.arrivalsMu.Lock()
 	defer s.arrivalsMu.Unlock()
 	if len(s.arrivals) >= maxArrivals {
@@ -122,7 +122,7 @@
 	}
 	k := s.currentKnobs()
 	_, waiting := s.slots.countsAgo(0)
-	if k.Leaving || s.withProbability(k.Refuse) || maxWaiting > 0 && waiting >= maxWaiting {
+	if k.Leaving || s.withProbability(k.RefuseShare) || maxWaiting > 0 && waiting >= maxWaiting {
 		s.refuse(w, r, http.StatusServiceUnavailable, "full or leaving")
 		return call, body, false
 	}
--- a/internal/standin/stream.go
+++ b/internal/standin/stream.go
@@ -73,7 +73,7 @@
 func (e *Engine) sendEvents(w http.ResponseWriter, r *http.Request, s *stream, from int) {
 	events := wire.NewEventWriter(w)
 	_ = events.Flush()
-	cut := e.withProbability(e.currentKnobs().Cut)
+	cut := e.withProbability(e.currentKnobs().CutShare)
 	for {
 		pieces, ended, aborted := s.awaitPieces(r.Context(), from)
 		if aborted {
--- a/internal/standin/weights.go
+++ b/internal/standin/weights.go
@@ -15,8 +15,8 @@
 	"github.com/wingvale/wingvale/internal/wire"
 )
 
-// Weights is a stand-in for the weight store. All fetches share its rate.
-type Weights struct {
+// WeightStore is a stand-in for the weight store. All fetches share its rate.
+type WeightStore struct {
 	bytesPerSecond int64
 	// sizes has the size of each model in bytes.
 	sizes map[string]int64
@@ -28,14 +28,14 @@
 	active, maxActive int
 }
 
-// NewWeights returns a Weights that serves models of the given sizes in bytes at the given rate in
-// bytes per second.
-func NewWeights(rate int64, sizes map[string]int64) *Weights {
-	return &Weights{bytesPerSecond: rate, sizes: sizes}
+// NewWeightStore returns a WeightStore that serves models of the given sizes in bytes at the given
+// rate in bytes per second.
+func NewWeightStore(rate int64, sizes map[string]int64) *WeightStore {
+	return &WeightStore{bytesPerSecond: rate, sizes: sizes}
 }
 
-// Most returns the greatest number of fetches that were in progress at once.
-func (s *Weights) Most() int {
+// MaxConcurrent returns the greatest number of fetches that were in progress at once.
+func (s *WeightStore) MaxConcurrent() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.maxActive
@@ -43,7 +43,7 @@
 
 // Fetch waits until the weights of a model have been served, and returns their size in bytes. It
 // returns an error if the model is unknown or ctx is done before.
-func (s *Weights) Fetch(ctx context.Context, model, _ string) (int64, error) {
+func (s *WeightStore) Fetch(ctx context.Context, model, _ string) (int64, error) {
 	size, ok := s.sizes[model]
 	if !ok {
 		return 0, fmt.Errorf("standin: model %s is not in the weight store", model)
@@ -75,7 +75,7 @@
 }
 
 // Handler returns a handler for fetches. It answers once the weights have been served.
-func (s *Weights) Handler() http.Handler {
+func (s *WeightStore) Handler() http.Handler {
 	r := chi.NewRouter()
 	r.Get("/v1/weights/{model}/{version}", func(w http.ResponseWriter, r *http.Request) {
 		size, err := s.Fetch(r.Context(), chi.URLParam(r, "model"), chi.URLParam(r, "version"))
