--- a/internal/choose/choose.go
+++ b/internal/choose/choose.go
@@ -24,10 +24,10 @@
 	// Slowdown is the ratio of the server's response time to that of similar servers; 1 is
 	// average.
 	Slowdown float64
-	// Near says that the server is in the node's availability zone.
-	Near bool
-	// Warm says that the server has likely cached the prompt's prefix.
-	Warm bool
+	// SameZone says that the server is in the node's availability zone.
+	SameZone bool
+	// HasPrefix says that the server has likely cached the prompt's prefix.
+	HasPrefix bool
 	// Usable is false for a server that must not be chosen.
 	Usable bool
 }
@@ -36,10 +36,10 @@
 type Costs struct {
 	// Work is how long the call takes at an idle server.
 	Work time.Duration
-	// Far is the additional time of another availability zone.
-	Far time.Duration
-	// Cold is the additional time of a prefix that is not cached.
-	Cold time.Duration
+	// CrossZoneTime is the additional time of another availability zone.
+	CrossZoneTime time.Duration
+	// CacheMissTime is the additional time of a prefix that is not cached.
+	CacheMissTime time.Duration
 }
 
 // Policy selects one of the candidates and returns its index, or -1 if none is usable and
@@ -68,7 +68,7 @@
 		}
 	}
 	for i := range candidates {
-		if candidates[i].Warm {
+		if candidates[i].HasPrefix {
 			consider(i)
 		}
 	}
@@ -141,11 +141,11 @@
 		slots = float64(max(c.Limit, 1))
 	}
 	t := costs.Work.Seconds() * max(c.Slowdown, 0.1) * (1 + ahead/slots)
-	if !c.Near {
-		t += costs.Far.Seconds()
+	if !c.SameZone {
+		t += costs.CrossZoneTime.Seconds()
 	}
-	if !c.Warm {
-		t += costs.Cold.Seconds()
+	if !c.HasPrefix {
+		t += costs.CacheMissTime.Seconds()
 	}
 	return t
 }
--- a/internal/choose/choose_test.go
+++ b/internal/choose/choose_test.go
@@ -16,14 +16,14 @@
 func candidates(n int) []choose.Candidate {
 	list := make([]choose.Candidate, n)
 	for i := range list {
-		list[i] = choose.Candidate{Limit: 4, Slots: 4, Slowdown: 1, Near: true, Usable: true}
+		list[i] = choose.Candidate{Limit: 4, Slots: 4, Slowdown: 1, SameZone: true, Usable: true}
 	}
 	return list
 }
 
 func TestPoliciesChooseOnlyUsableServersBelowLimit(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
-	costs := choose.Costs{Work: 100 * time.Millisecond, Far: time.Millisecond, Cold: 20 * time.Millisecond}
+	costs := choose.Costs{Work: 100 * time.Millisecond, CrossZoneTime: time.Millisecond, CacheMissTime: 20 * time.Millisecond}
 	for name, policy := range map[string]choose.Policy{"least time": choose.LeastTime, "least in flight": choose.LeastInFlight, "random": choose.Random} {
 		for _, n := range []int{1, 3, 40, 250} {
 			list := candidates(n)
@@ -39,19 +39,19 @@
 }
 
 func TestLeastTimeWeighsPreferencesAsTime(t *testing.T) {
-	costs := choose.Costs{Work: 100 * time.Millisecond, Far: 5 * time.Millisecond, Cold: 20 * time.Millisecond}
+	costs := choose.Costs{Work: 100 * time.Millisecond, CrossZoneTime: 5 * time.Millisecond, CacheMissTime: 20 * time.Millisecond}
 	cases := []struct {
 		name   string
 		change func(a, b *choose.Candidate)
 		want   int
 	}{
-		{"near before far", func(a, _ *choose.Candidate) { a.Near = false }, 1},
-		{"warm before cold", func(_, b *choose.Candidate) { b.Warm = true }, 1},
-		{"idle and far before busy and near", func(a, b *choose.Candidate) { b.Near, a.InFlight = false, 2 }, 1},
-		{"busy and warm loses to idle", func(a, _ *choose.Candidate) { a.Warm, a.InFlight = true, 2 }, 1},
+		{"near before far", func(a, _ *choose.Candidate) { a.SameZone = false }, 1},
+		{"warm before cold", func(_, b *choose.Candidate) { b.HasPrefix = true }, 1},
+		{"idle and far before busy and near", func(a, b *choose.Candidate) { b.SameZone, a.InFlight = false, 2 }, 1},
+		{"busy and warm loses to idle", func(a, _ *choose.Candidate) { a.HasPrefix, a.InFlight = true, 2 }, 1},
 		{"slow loses", func(a, _ *choose.Candidate) { a.Slowdown = 3 }, 1},
 		{"a fresh report counts", func(a, _ *choose.Candidate) { a.Reported = 4 }, 1},
-		{"an old report does not outweigh a zone", func(a, b *choose.Candidate) { a.Reported, a.Age, b.Near = 4, 10*time.Second, false }, 0},
+		{"an old report does not outweigh a zone", func(a, b *choose.Candidate) { a.Reported, a.Age, b.SameZone = 4, 10*time.Second, false }, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -83,7 +83,7 @@
 func BenchmarkLeastTime250(b *testing.B) {
 	list := candidates(250)
 	random := rand.New(rand.NewPCG(1, 1))
-	costs := choose.Costs{Work: time.Second, Far: time.Millisecond, Cold: time.Millisecond}
+	costs := choose.Costs{Work: time.Second, CrossZoneTime: time.Millisecond, CacheMissTime: time.Millisecond}
 	b.ReportAllocs()
 	for b.Loop() {
 		choose.LeastTime(list, costs, random)
--- a/internal/command/demo.go
+++ b/internal/command/demo.go
@@ -69,7 +69,7 @@
 func (c demoCommand) runPlatform(o *output) error {
 	o.printf("%d nodes on a stand-in of the platform; faults of seed %d for %v\n", c.Nodes, c.Seed, c.For)
 	report, err := platformstandin.Campaign(context.Background(), platformstandin.CampaignOptions{
-		Nodes: c.Nodes, Seed: c.Seed, For: c.For, Settle: settleDuration,
+		Nodes: c.Nodes, Seed: c.Seed, Duration: c.For, Settle: settleDuration,
 	})
 	if err != nil {
 		return err
--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -77,7 +77,7 @@
 		},
 		Metrics: metricsHandler,
 		Seed:    rand.Uint64(),
-		Boot:    boot.Clock,
+		SinceBoot:    boot.Clock,
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/internal/daemon/gateway_test.go
+++ b/internal/daemon/gateway_test.go
@@ -47,7 +47,7 @@
 	log := logrus.New()
 	log.SetOutput(&out)
 	p := platform.New(platform.Options{
-		Settings: old, Log: log, Scope: tally.NoopScope, Dial: (&net.Dialer{}).DialContext, Seed: 1, Boot: boot.Clock,
+		Settings: old, Log: log, Scope: tally.NoopScope, Dial: (&net.Dialer{}).DialContext, Seed: 1, SinceBoot: boot.Clock,
 	})
 	assert.NilError(t, os.WriteFile(path, []byte(text), 0o600))
 	return old, daemon.Reload(p, path, old, log), out.String()
--- a/internal/dispatch/pool.go
+++ b/internal/dispatch/pool.go
@@ -30,10 +30,10 @@
 	Queue queue.Policy
 	// Limit bounds the calls in flight at each server.
 	Limit limit.Options
-	// Far is the extra time of a call to another availability zone, and Cold that of a
+	// CrossZoneTime is the extra time of a call to another availability zone, and Cold that of a
 	// call to a server that does not hold the prompt's prefix.
-	Far  time.Duration
-	Cold time.Duration
+	CrossZoneTime time.Duration
+	CacheMissTime time.Duration
 	// MaxWaiting is the most calls that may wait in the queue of one model.
 	MaxWaiting int
 	// Seed seeds the random choice between servers. It must differ between nodes so
@@ -43,11 +43,11 @@
 
 // Defaults of Options.
 const (
-	DefaultFar        = time.Millisecond
-	DefaultCold       = 20 * time.Millisecond
-	DefaultMaxWaiting = 10000
-	maxPrefixes       = 4096
-	maxPrefixHolders  = 16
+	DefaultCrossZoneTime = time.Millisecond
+	DefaultCacheMissTime = 20 * time.Millisecond
+	DefaultMaxWaiting    = 10000
+	maxPrefixes          = 4096
+	maxPrefixHolders     = 16
 	// backgroundShare is the share of a pool's limit that background work may fill.
 	backgroundShare = 0.75
 	// pressureSmoothing is the weight of one call in the moving average of pressure.
@@ -104,8 +104,8 @@
 	if options.Choose == nil {
 		options.Choose = choose.LeastTime
 	}
-	options.Far = cmp.Or(options.Far, DefaultFar)
-	options.Cold = cmp.Or(options.Cold, DefaultCold)
+	options.CrossZoneTime = cmp.Or(options.CrossZoneTime, DefaultCrossZoneTime)
+	options.CacheMissTime = cmp.Or(options.CacheMissTime, DefaultCacheMissTime)
 	options.MaxWaiting = cmp.Or(options.MaxWaiting, DefaultMaxWaiting)
 	// The size is a constant above 0, so New cannot fail.
 	prefixHolders, _ := lru.New[uint64, []netip.AddrPort](maxPrefixes)
@@ -295,10 +295,10 @@
 func (p *Pool) choose(task Task) *server {
 	if holders, ok := p.prefixHolders.Get(task.Prefix); ok && task.Prefix != 0 {
 		for i, s := range p.active {
-			p.candidates[i].Warm = slices.Contains(holders, s.Address)
+			p.candidates[i].HasPrefix = slices.Contains(holders, s.Address)
 		}
 	}
-	costs := choose.Costs{Work: task.Cost, Far: p.options.Far, Cold: p.options.Cold}
+	costs := choose.Costs{Work: task.Cost, CrossZoneTime: p.options.CrossZoneTime, CacheMissTime: p.options.CacheMissTime}
 	excluded := p.excludeAvoided(task.Avoid)
 	i := p.options.Choose(p.candidates, costs, p.random)
 	if i < 0 {
--- a/internal/dispatch/server.go
+++ b/internal/dispatch/server.go
@@ -109,6 +109,6 @@
 		Slots:    s.slots,
 		Age:      now.Sub(s.reportedAt),
 		Slowdown: s.limit.Slowdown(),
-		Near:     s.Zone == zone,
+		SameZone: s.Zone == zone,
 	}
 }
--- a/internal/gateway/components.go
+++ b/internal/gateway/components.go
@@ -54,8 +54,8 @@
 		Suspects:         n.suspects,
 		Confirm:          n.confirmer.confirm,
 		OwnersKnown:      n.settled,
-		Boot:             o.Boot,
-		SuspectsReceived: n.gossip.EndsKnown(),
+		SinceBoot:        o.SinceBoot,
+		SuspectsReceived: n.gossip.CrashesKnown(),
 		Hosts:            n.serving,
 		Log:              n.log,
 		Scope:            o.Scope,
@@ -72,13 +72,13 @@
 func (n *Node) newSuspects() *trial.Group {
 	return trial.New(trial.Options{
 		Owners: owner.NewFinder(n.settings.Callers, n.live),
-		Spread: func(ends []suspect.End) { n.gossip.SpreadEnds(ends) },
-		RequestTry: func(ctx context.Context, peer netip.AddrPort, digest suspect.Digest) (bool, error) {
-			return n.gossip.RequestTry(ctx, peer, digest)
+		Spread: func(ends []suspect.Crash) { n.gossip.SpreadCrashes(ends) },
+		RequestTrial: func(ctx context.Context, peer netip.AddrPort, digest suspect.Digest) (bool, error) {
+			return n.gossip.RequestTrial(ctx, peer, digest)
 		},
-		NotifyTryOver: func(peer netip.AddrPort, digest suspect.Digest) { n.gossip.ReleaseTry(peer, digest) },
-		Log:           n.log,
-		Scope:         n.options.Scope,
+		ReleaseTrial: func(peer netip.AddrPort, digest suspect.Digest) { n.gossip.ReleaseTrial(peer, digest) },
+		Log:          n.log,
+		Scope:        n.options.Scope,
 	})
 }
 
--- a/internal/gateway/confirm.go
+++ b/internal/gateway/confirm.go
@@ -99,8 +99,8 @@
 
 func newConfirmer(n *Node) *configConfirmer {
 	c := &configConfirmer{node: n}
-	c.publisherCheck = &sharedCheck{check: c.askPublisher, ctx: n.ctx, clock: n.options.Boot}
-	c.anyCheck = &sharedCheck{check: c.askAny, ctx: n.ctx, clock: n.options.Boot}
+	c.publisherCheck = &sharedCheck{check: c.askPublisher, ctx: n.ctx, clock: n.options.SinceBoot}
+	c.anyCheck = &sharedCheck{check: c.askAny, ctx: n.ctx, clock: n.options.SinceBoot}
 	return c
 }
 
--- a/internal/gateway/maintenance.go
+++ b/internal/gateway/maintenance.go
@@ -22,7 +22,7 @@
 
 // maintain detects pauses, closes idle connections, and drops expired servers.
 func (n *Node) maintain(ctx context.Context) {
-	n.lastTick.Store(int64(n.options.Boot()))
+	n.lastTick.Store(int64(n.options.SinceBoot()))
 	timer := time.NewTimer(tickInterval)
 	defer timer.Stop()
 	pruned := time.Now()
@@ -37,7 +37,7 @@
 			n.log.WithField("gap_ms", n.sinceLastTick().Milliseconds()).Warn("the process stood still; confirming the configuration")
 			n.confirmer.confirm(ctx)
 		}
-		n.lastTick.Store(int64(n.options.Boot()))
+		n.lastTick.Store(int64(n.options.SinceBoot()))
 		if n.serverTable.hasExpired(now) {
 			n.refresh()
 		}
@@ -77,7 +77,7 @@
 // clock alone, a host that had been suspended served callers whose keys had been revoked in
 // the meantime.
 func (n *Node) sinceLastTick() time.Duration {
-	return n.options.Boot() - time.Duration(n.lastTick.Load())
+	return n.options.SinceBoot() - time.Duration(n.lastTick.Load())
 }
 
 func (n *Node) paused() bool {
--- a/internal/gateway/node.go
+++ b/internal/gateway/node.go
@@ -49,11 +49,11 @@
 	Dialect         relay.Dialect
 	// StageDriver returns the driver that calls stage servers over the connections of pool and
 	// records the notices in their answers.
-	StageDriver func(pool *exchange.Pool, notices *notice.Book) stagepool.Driver
+	StageDriver func(pool *exchange.Pool, notices *notice.Registry) stagepool.Driver
 	Seed        uint64
-	// Boot is a clock that, unlike the monotonic clock, also advances while the host is
+	// SinceBoot is a clock that, unlike the monotonic clock, also advances while the host is
 	// suspended.
-	Boot func() time.Duration
+	SinceBoot func() time.Duration
 }
 
 // Node is one host. Run must be called exactly once.
@@ -72,7 +72,7 @@
 	backends    *exchange.Pool
 	stages      *stagepool.Group
 	engines     *enginepool.Group
-	notices     *notice.Book
+	notices     *notice.Registry
 	suspects    *trial.Group
 	core        *relay.Core
 	serverTable *serverTable
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -15,9 +15,9 @@
 const noticesStream = 1 << 32
 
 // newNotices returns the book of what backend servers announced about themselves.
-func (n *Node) newNotices() *notice.Book {
-	return notice.NewBook(notice.Options{
-		SinceBoot: n.options.Boot,
+func (n *Node) newNotices() *notice.Registry {
+	return notice.NewRegistry(notice.Options{
+		SinceBoot: n.options.SinceBoot,
 		Random:    rand.New(rand.NewPCG(n.options.Seed, noticesStream|uint64(n.settings.Callers.Port()))),
 		Log:       n.log,
 		Scope:     n.options.Scope,
--- a/internal/gateway/refresh.go
+++ b/internal/gateway/refresh.go
@@ -153,13 +153,13 @@
 		}
 		if s.Batch != nil {
 			k.pools[name] = stageplan.Spec{
-				Service:   name,
-				Size:      s.Batch.Size,
-				Slots:     s.Batch.Slots,
-				CallTime:  s.Batch.CallTime,
-				PieceTime: s.Batch.PieceTime,
-				Room:      s.Batch.Room,
-				Hold:      s.Batch.Hold,
+				Service:        name,
+				Size:           s.Batch.Size,
+				Slots:          s.Batch.Slots,
+				CallTime:       s.Batch.CallTime,
+				PieceTime:      s.Batch.PieceTime,
+				ResultCapacity: s.Batch.ResultCapacity,
+				ResultTTL:      s.Batch.ResultTTL,
 			}
 		}
 	}
@@ -191,7 +191,7 @@
 		return nil
 	}
 	return &stageplan.Server{
-		Instance: s.Instance, Address: s.Address, Zone: s.Zone, Region: s.Region, Leaving: s.Closed(), Unreachable: s.Evacuated,
+		Instance: s.Instance, Address: s.Address, Zone: s.Zone, Region: s.Region, Leaving: s.Closed(), Evacuated: s.Evacuated,
 	}
 }
 
--- a/internal/gateway/refresh_test.go
+++ b/internal/gateway/refresh_test.go
@@ -37,7 +37,7 @@
 }
 
 func decodeDirective(string, []byte) (gateway.Directive, error) {
-	batch := &relay.Batch{Slots: 1, Size: 8, CallTime: 150 * time.Millisecond, PieceTime: 16 * time.Millisecond, Room: 41e6, Hold: 4 * time.Second}
+	batch := &relay.Batch{Slots: 1, Size: 8, CallTime: 150 * time.Millisecond, PieceTime: 16 * time.Millisecond, ResultCapacity: 41e6, ResultTTL: 4 * time.Second}
 	catalog := relay.NewCatalog(1, nil, []relay.Service{
 		{Name: "engine", Engine: &relay.Engine{Slots: 64, Tokens: 560718}},
 		{Name: "read", Batch: batch}, {Name: "board", Batch: batch}, {Name: "keys", Batch: batch},
@@ -54,8 +54,8 @@
 		ConfigurationKey: configurationKey,
 		DecodeDirective:  decodeDirective,
 		DecodeServer:     decodeServer,
-		StageDriver:      func(*exchange.Pool, *notice.Book) stagepool.Driver { return nil },
-		Boot:             func() time.Duration { return time.Second },
+		StageDriver:      func(*exchange.Pool, *notice.Registry) stagepool.Driver { return nil },
+		SinceBoot:        func() time.Duration { return time.Second },
 	})
 	n.Offer(published.Entry{Key: configurationKey, Revision: 1, Data: []byte("{}")})
 	var entries []published.Entry
--- a/internal/notice/book.go
+++ b/internal/notice/book.go
@@ -60,9 +60,9 @@
 	endsAt  time.Duration
 }
 
-// Book stores which runs of backend servers are leaving or resting, according to the
+// Registry stores which runs of backend servers are leaving or resting, according to the
 // servers' own notices. It is safe for concurrent use.
-type Book struct {
+type Registry struct {
 	options Options
 
 	mu sync.Mutex
@@ -72,13 +72,13 @@
 	resting map[string]restRecord
 }
 
-// NewBook returns an empty book.
-func NewBook(options Options) *Book {
-	return &Book{options: options, leaving: make(map[string]*leavingRecord), resting: make(map[string]restRecord)}
+// NewRegistry returns an empty book.
+func NewRegistry(options Options) *Registry {
+	return &Registry{options: options, leaving: make(map[string]*leavingRecord), resting: make(map[string]restRecord)}
 }
 
 // RecordNotice records the notice in an answer of a server.
-func (b *Book) RecordNotice(s Server, n Notice) {
+func (b *Registry) RecordNotice(s Server, n Notice) {
 	if n.Rest > 0 {
 		b.addRest(s, n.Rest)
 	}
@@ -88,7 +88,7 @@
 }
 
 // RecordLeaving records that a run is leaving. Only the first notice of a run has an effect.
-func (b *Book) RecordLeaving(s Server, source Source) {
+func (b *Registry) RecordLeaving(s Server, source Source) {
 	if !b.addLeaving(s, source) {
 		return
 	}
@@ -98,7 +98,7 @@
 }
 
 // addLeaving stores that a run is leaving, and reports whether that is new.
-func (b *Book) addLeaving(s Server, source Source) bool {
+func (b *Registry) addLeaving(s Server, source Source) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.leaving[s.Instance] != nil {
@@ -115,7 +115,7 @@
 
 // addRest stores that a run wants no requests from this host. It never shortens an
 // earlier rest.
-func (b *Book) addRest(s Server, asked time.Duration) {
+func (b *Registry) addRest(s Server, asked time.Duration) {
 	now := b.options.SinceBoot()
 	b.mu.Lock()
 	old, exists := b.resting[s.Instance]
@@ -137,13 +137,13 @@
 }
 
 // withJitter returns the length of a rest with its jitter. The mutex must be held.
-func (b *Book) withJitter(asked time.Duration) time.Duration {
+func (b *Registry) withJitter(asked time.Duration) time.Duration {
 	jitter := min(time.Duration(jitterShare*float64(asked)), maxJitter)
 	return asked + time.Duration(b.options.Random.Float64()*float64(jitter))
 }
 
 // Leaving reports whether a run is known to be leaving.
-func (b *Book) Leaving(instance string) bool {
+func (b *Registry) Leaving(instance string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.leaving[instance] != nil
@@ -151,7 +151,7 @@
 
 // Rest returns how much longer this host must send nothing to a run; 0 if the run is not
 // resting.
-func (b *Book) Rest(instance string) time.Duration {
+func (b *Registry) Rest(instance string) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r, ok := b.resting[instance]
@@ -162,7 +162,7 @@
 }
 
 // Resting returns the runs that this host must send nothing to, in no particular order.
-func (b *Book) Resting() []string {
+func (b *Registry) Resting() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if len(b.resting) == 0 {
@@ -180,7 +180,7 @@
 
 // MarkListed updates when the leaving runs were last in the server list, so that those that
 // still are do not expire. It must be called about once a second.
-func (b *Book) MarkListed(isListed func(instance string) bool) {
+func (b *Registry) MarkListed(isListed func(instance string) bool) {
 	now := b.options.SinceBoot()
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -193,7 +193,7 @@
 
 // RemoveExpired removes ended rests and leaving runs that have not been listed for leavingTTL. It
 // must be called about once a second.
-func (b *Book) RemoveExpired() {
+func (b *Registry) RemoveExpired() {
 	now := b.options.SinceBoot()
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -225,7 +225,7 @@
 }
 
 // State returns up to most of the runs that are leaving or resting, ordered by instance.
-func (b *Book) State(most int) []Entry {
+func (b *Registry) State(most int) []Entry {
 	now := b.options.SinceBoot()
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/notice/book_test.go
+++ b/internal/notice/book_test.go
@@ -23,12 +23,12 @@
 // leavingCalls records the calls of Options.OnLeaving.
 type leavingCalls struct{ lines []string }
 
-func newBook(t *testing.T) (*notice.Book, *clock, *leavingCalls) {
+func newBook(t *testing.T) (*notice.Registry, *clock, *leavingCalls) {
 	t.Helper()
 	c, calls := &clock{}, &leavingCalls{}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	return notice.NewBook(notice.Options{
+	return notice.NewRegistry(notice.Options{
 		SinceBoot: func() time.Duration { return c.now },
 		Random:    rand.New(rand.NewPCG(1, 1)),
 		Log:       log,
--- a/internal/peer/ends.go
+++ b/internal/peer/ends.go
@@ -22,13 +22,13 @@
 	// Sum is equal on nodes that know the same ends.
 	Sum() uint64
 	// Ends returns all known ends.
-	Ends() []suspect.End
+	Crashes() []suspect.Crash
 	// Merge adds the ends that another node knows and returns those that were new.
-	Merge(ends []suspect.End) []suspect.End
+	Merge(ends []suspect.Crash) []suspect.Crash
 	// Begin starts a try of a request on behalf of another node, unless one is running, and
 	// End finishes it.
-	Begin(digest suspect.Digest) bool
-	End(digest suspect.Digest)
+	GrantTrial(digest suspect.Digest) bool
+	EndTrial(digest suspect.Digest)
 }
 
 const (
@@ -39,15 +39,15 @@
 	// bytes each. Without a limit, nodes that dropped the oldest of too many ends would
 	// receive them again with each heartbeat.
 	endRate  = 1000
-	endBurst = 2 * suspect.MaxEnds
+	endBurst = 2 * suspect.MaxCrashes
 	// tryTimeout bounds a request for a try. The owner answers at once.
 	tryTimeout = 100 * time.Millisecond
 )
 
-// SpreadEnds sends ends that were new to this node to a few peers, which do the same. So they
+// SpreadCrashes sends ends that were new to this node to a few peers, which do the same. So they
 // reach 300 nodes in six rounds. A node that was missed detects the difference at its next
 // heartbeat.
-func (g *Gossip) SpreadEnds(ends []suspect.End) {
+func (g *Gossip) SpreadCrashes(ends []suspect.Crash) {
 	if len(ends) == 0 {
 		return
 	}
@@ -56,7 +56,7 @@
 	if len(g.pendingEnds) == 0 {
 		time.AfterFunc(batchWindow, g.spreadPendingEnds)
 	}
-	if len(g.pendingEnds) < suspect.MaxEnds {
+	if len(g.pendingEnds) < suspect.MaxCrashes {
 		g.pendingEnds = append(g.pendingEnds, ends...)
 	}
 }
@@ -66,7 +66,7 @@
 	ends := g.pendingEnds
 	g.pendingEnds = nil
 	g.mu.Unlock()
-	request := &peerpb.EndsRequest{Ends: endMessages(time.Now(), ends[:min(len(ends), suspect.MaxEnds)])}
+	request := &peerpb.EndsRequest{Ends: endMessages(time.Now(), ends[:min(len(ends), suspect.MaxCrashes)])}
 	for _, m := range g.pickLive(Fanout, netip.AddrPort{}) {
 		g.enqueue(func(ctx context.Context) { _, _ = g.sendEnds(ctx, m.Peer, request) })
 	}
@@ -85,7 +85,7 @@
 		g.markEndsKnown()
 		return
 	}
-	if !g.endsLimiter.AllowN(time.Now(), len(suspects.Ends())+1) {
+	if !g.endsLimiter.AllowN(time.Now(), len(suspects.Crashes())+1) {
 		g.options.Scope.Counter("ends_put_off").Inc(1)
 		return
 	}
@@ -103,7 +103,7 @@
 	if g.options.Suspects == nil {
 		return nil
 	}
-	request := &peerpb.EndsRequest{Ends: endMessages(time.Now(), g.options.Suspects.Ends()), All: true}
+	request := &peerpb.EndsRequest{Ends: endMessages(time.Now(), g.options.Suspects.Crashes()), All: true}
 	reply, err := g.sendEnds(ctx, address, request)
 	if err != nil {
 		return err
@@ -113,8 +113,8 @@
 	return nil
 }
 
-// EndsKnown returns a channel that is closed once this node knows the ends of some other node.
-func (g *Gossip) EndsKnown() <-chan struct{} {
+// CrashesKnown returns a channel that is closed once this node knows the ends of some other node.
+func (g *Gossip) CrashesKnown() <-chan struct{} {
 	return g.endsKnown
 }
 
@@ -124,11 +124,11 @@
 
 // mergeEnds merges ends from a peer and spreads those that are new.
 func (g *Gossip) mergeEnds(messages []*peerpb.End) {
-	g.SpreadEnds(g.options.Suspects.Merge(decodeEnds(time.Now(), messages)))
+	g.SpreadCrashes(g.options.Suspects.Merge(decodeEnds(time.Now(), messages)))
 }
 
-// RequestTry asks a node for permission to try a suspected request.
-func (g *Gossip) RequestTry(ctx context.Context, address netip.AddrPort, digest suspect.Digest) (bool, error) {
+// RequestTrial asks a node for permission to try a suspected request.
+func (g *Gossip) RequestTrial(ctx context.Context, address netip.AddrPort, digest suspect.Digest) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, tryTimeout)
 	defer cancel()
 	reply, err := g.client(address).Try(ctx, &peerpb.TryRequest{Request: uint64(digest)})
@@ -138,8 +138,8 @@
 	return reply.GetGranted(), nil
 }
 
-// ReleaseTry notifies a node that a try that it granted is over.
-func (g *Gossip) ReleaseTry(address netip.AddrPort, digest suspect.Digest) {
+// ReleaseTrial notifies a node that a try that it granted is over.
+func (g *Gossip) ReleaseTrial(address netip.AddrPort, digest suspect.Digest) {
 	g.enqueue(func(ctx context.Context) {
 		ctx, cancel := context.WithTimeout(ctx, tryTimeout)
 		defer cancel()
@@ -154,7 +154,7 @@
 	if g.options.Suspects == nil {
 		return &peerpb.EndsReply{}, nil
 	}
-	if len(in.GetEnds()) > suspect.MaxEnds {
+	if len(in.GetEnds()) > suspect.MaxCrashes {
 		return nil, twirp.InvalidArgumentError("ends", "too many")
 	}
 	g.mergeEnds(in.GetEnds())
@@ -162,7 +162,7 @@
 		return &peerpb.EndsReply{}, nil
 	}
 	g.markEndsKnown()
-	return &peerpb.EndsReply{Ends: endMessages(time.Now(), g.options.Suspects.Ends())}, nil
+	return &peerpb.EndsReply{Ends: endMessages(time.Now(), g.options.Suspects.Crashes())}, nil
 }
 
 // Try starts or finishes a try.
@@ -173,17 +173,17 @@
 	}
 	digest := suspect.Digest(in.GetRequest())
 	if in.GetOver() {
-		suspects.End(digest)
+		suspects.EndTrial(digest)
 		return &peerpb.TryReply{}, nil
 	}
-	return &peerpb.TryReply{Granted: suspects.Begin(digest)}, nil
+	return &peerpb.TryReply{Granted: suspects.GrantTrial(digest)}, nil
 }
 
 // endMessages encodes the time of ends as an age, since the clocks of hosts differ.
-func endMessages(now time.Time, ends []suspect.End) []*peerpb.End {
+func endMessages(now time.Time, ends []suspect.Crash) []*peerpb.End {
 	messages := make([]*peerpb.End, 0, len(ends))
 	for _, e := range ends {
-		age := min(max(now.Sub(e.EndedAt).Milliseconds(), 0), math.MaxUint32)
+		age := min(max(now.Sub(e.CrashedAt).Milliseconds(), 0), math.MaxUint32)
 		messages = append(messages, &peerpb.End{
 			Request: uint64(e.Request), Server: uint64(e.Server), Answered: e.Answered, Cleared: e.Cleared, AgeMs: uint32(age),
 		})
@@ -191,15 +191,15 @@
 	return messages
 }
 
-func decodeEnds(now time.Time, messages []*peerpb.End) []suspect.End {
-	ends := make([]suspect.End, 0, len(messages))
+func decodeEnds(now time.Time, messages []*peerpb.End) []suspect.Crash {
+	ends := make([]suspect.Crash, 0, len(messages))
 	for _, m := range messages {
-		ends = append(ends, suspect.End{
-			Request:  suspect.Digest(m.GetRequest()),
-			Server:   suspect.Server(m.GetServer()),
-			Answered: m.GetAnswered(),
-			Cleared:  m.GetCleared(),
-			EndedAt:  now.Add(-time.Duration(m.GetAgeMs()) * time.Millisecond),
+		ends = append(ends, suspect.Crash{
+			Request:   suspect.Digest(m.GetRequest()),
+			Server:    suspect.Server(m.GetServer()),
+			Answered:  m.GetAnswered(),
+			Cleared:   m.GetCleared(),
+			CrashedAt: now.Add(-time.Duration(m.GetAgeMs()) * time.Millisecond),
 		})
 	}
 	return ends
--- a/internal/peer/gossip.go
+++ b/internal/peer/gossip.go
@@ -115,7 +115,7 @@
 	random     *rand.Rand
 	heartbeats int
 	// pendingEnds are ends that wait to be spread together.
-	pendingEnds []suspect.End
+	pendingEnds []suspect.Crash
 	// leavingScheduled reports whether a heartbeat with leaving servers is scheduled.
 	leavingScheduled bool
 }
--- a/internal/relay/catalog.go
+++ b/internal/relay/catalog.go
@@ -112,12 +112,12 @@
 
 // Batch describes a stage server.
 type Batch struct {
-	Slots     int
-	Size      int
-	CallTime  time.Duration
-	PieceTime time.Duration
-	Room      int64
-	Hold      time.Duration
+	Slots          int
+	Size           int
+	CallTime       time.Duration
+	PieceTime      time.Duration
+	ResultCapacity int64
+	ResultTTL      time.Duration
 }
 
 // Server is one backend server as published.
--- a/internal/relay/core.go
+++ b/internal/relay/core.go
@@ -32,7 +32,7 @@
 	Stages  *stagepool.Group
 	Engines *enginepool.Group
 	// Notices holds what backend servers reported about themselves in their answers.
-	Notices *notice.Book
+	Notices *notice.Registry
 	// Suspects tracks the requests during which backend servers crashed.
 	Suspects *trial.Group
 	// Confirm checks that the configuration in force is the newest one, and reports
@@ -44,8 +44,8 @@
 	// SuspectsReceived is closed once another host has sent the list of requests during
 	// which servers crashed.
 	SuspectsReceived <-chan struct{}
-	// Boot returns the time of a clock that keeps running while the host is suspended.
-	Boot func() time.Duration
+	// SinceBoot returns the time of a clock that keeps running while the host is suspended.
+	SinceBoot func() time.Duration
 	// Hosts returns the number of hosts that serve, including this one.
 	Hosts  func() int
 	Log    logrus.FieldLogger
--- a/internal/relay/crash.go
+++ b/internal/relay/crash.go
@@ -223,11 +223,11 @@
 func (c *Core) serverCrashed(s Server, requests []lostRequest) {
 	c.scope.Counter("servers_ended").Inc(1)
 	c.scope.Counter("requests_lain").Inc(int64(len(requests)))
-	ends := make([]suspect.End, 0, len(requests))
+	ends := make([]suspect.Crash, 0, len(requests))
 	for _, r := range requests {
-		ends = append(ends, suspect.End{Request: r.digest, Server: suspect.ServerOf(s.Instance), Answered: r.answered, EndedAt: r.failedAt})
+		ends = append(ends, suspect.Crash{Request: r.digest, Server: suspect.ServerOf(s.Instance), Answered: r.answered, CrashedAt: r.failedAt})
 		c.log.WithFields(logrus.Fields{"server": s.Instance, "service": s.Service, "digest": r.digest, "answered": r.answered}).
 			Info("a backend server crashed while serving a request")
 	}
-	c.options.Suspects.RecordEnds(ends)
+	c.options.Suspects.RecordCrashes(ends)
 }
--- a/internal/relay/export_test.go
+++ b/internal/relay/export_test.go
@@ -56,7 +56,7 @@
 // be held for the given time.
 func Remaining(c *Core, held time.Duration, pause func()) time.Duration {
 	j := newTestJob(c, &Route{}, held)
-	j.bootDeadline = c.options.Boot() + held
+	j.bootDeadline = c.options.SinceBoot() + held
 	pause()
 	return j.remaining()
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -95,7 +95,7 @@
 // Two goroutines of a node may each set a configuration; the later call may have the older
 // one.
 func TestSetCatalogIgnoresOlderVersions(t *testing.T) {
-	c := relay.New(relay.Options{Hosts: func() int { return 1 }, Boot: steady, Random: rand.New(rand.NewPCG(1, 1))})
+	c := relay.New(relay.Options{Hosts: func() int { return 1 }, SinceBoot: steady, Random: rand.New(rand.NewPCG(1, 1))})
 	c.SetCatalog(relay.NewCatalog(6, nil, nil, nil, relay.Limits{}))
 	c.SetCatalog(relay.NewCatalog(4, nil, nil, nil, relay.Limits{}))
 	assert.Equal(t, c.Catalog().Version, uint64(6))
@@ -112,7 +112,7 @@
 }
 
 func TestReturningCallersAreRecognizedByRemainingTime(t *testing.T) {
-	c := relay.New(relay.Options{Hosts: func() int { return 1 }, Boot: steady, Random: rand.New(rand.NewPCG(1, 1))})
+	c := relay.New(relay.Options{Hosts: func() int { return 1 }, SinceBoot: steady, Random: rand.New(rand.NewPCG(1, 1))})
 	r := &relay.Route{Name: "r", Timeout: 10 * time.Second}
 	assert.Assert(t, relay.IsFirstAttempt(c, r, 10*time.Second))
 	assert.Assert(t, relay.IsFirstAttempt(c, r, 9*time.Second))
@@ -127,7 +127,7 @@
 // were scheduled before requests that could still be in time. Only 868 of 1,351 requests
 // were in time; 479 callers were treated that way.
 func TestReturningCallersKeepFirstObjective(t *testing.T) {
-	c := relay.New(relay.Options{Hosts: func() int { return 1 }, Boot: steady, Random: rand.New(rand.NewPCG(1, 1))})
+	c := relay.New(relay.Options{Hosts: func() int { return 1 }, SinceBoot: steady, Random: rand.New(rand.NewPCG(1, 1))})
 	r := &relay.Route{Name: "r", Timeout: 10 * time.Second, Objective: 2 * time.Second}
 	assert.Equal(t, relay.Objective(c, r, 10*time.Second), 2*time.Second)
 	assert.Equal(t, relay.Objective(c, r, 7*time.Second), -time.Second, "3 s have passed")
@@ -141,7 +141,7 @@
 		scope := tally.NewTestScope("", nil)
 		log := logrus.New()
 		log.SetOutput(io.Discard)
-		c := relay.New(relay.Options{Hosts: func() int { return 1 }, Boot: steady, Random: rand.New(rand.NewPCG(1, 1)), Log: log, Scope: scope})
+		c := relay.New(relay.Options{Hosts: func() int { return 1 }, SinceBoot: steady, Random: rand.New(rand.NewPCG(1, 1)), Log: log, Scope: scope})
 		err := c.Serve(t.Context(), &relay.Request{Arrived: time.Now()}, nil)
 		assert.Equal(t, verdict.Of(err), verdict.NotRun)
 		count := int64(0)
@@ -169,7 +169,7 @@
 		began := time.Now()
 		c := relay.New(relay.Options{
 			Hosts: func() int { return 1 }, Random: rand.New(rand.NewPCG(1, 1)),
-			Boot: func() time.Duration { return time.Since(began) + suspended },
+			SinceBoot: func() time.Duration { return time.Since(began) + suspended },
 		})
 		assert.Equal(t, relay.Remaining(c, 5*time.Second, func() { suspended = 4 * time.Second }), time.Second)
 		assert.Equal(t, relay.Remaining(c, 5*time.Second, func() { time.Sleep(time.Second) }), 4*time.Second)
--- a/internal/relay/serve.go
+++ b/internal/relay/serve.go
@@ -222,7 +222,7 @@
 		held = min(held, r.CallerTimeout)
 	}
 	j.deadline = r.Arrived.Add(held)
-	j.bootDeadline = c.options.Boot() + time.Until(j.deadline)
+	j.bootDeadline = c.options.SinceBoot() + time.Until(j.deadline)
 	j.objective = j.firstAttemptTime().Add(route.Objective)
 	j.firstDeadline = j.deadline
 	if route.FirstEventTimeout > 0 {
@@ -313,7 +313,7 @@
 // clock is checked too: without it, a server was given 4 s that had already passed for its
 // caller.
 func (j *job) remaining() time.Duration {
-	return min(time.Until(j.deadline), j.bootDeadline-j.core.options.Boot())
+	return min(time.Until(j.deadline), j.bootDeadline-j.core.options.SinceBoot())
 }
 
 // contextError returns the request's error if ctx has ended, or nil.
--- a/internal/relay/servers.go
+++ b/internal/relay/servers.go
@@ -42,7 +42,7 @@
 type serverSet struct {
 	zone string
 	// notices records how long a server has asked this host to pause.
-	notices *notice.Book
+	notices *notice.Registry
 
 	mu        sync.Mutex
 	byService map[string]*serviceServers
@@ -50,7 +50,7 @@
 	random    *rand.Rand
 }
 
-func newServerSet(zone string, notices *notice.Book, random *rand.Rand) *serverSet {
+func newServerSet(zone string, notices *notice.Registry, random *rand.Rand) *serverSet {
 	return &serverSet{zone: zone, notices: notices, random: random, byService: make(map[string]*serviceServers), byID: make(map[string]*server)}
 }
 
--- a/internal/relay/trial.go
+++ b/internal/relay/trial.go
@@ -51,10 +51,10 @@
 		if v.State == suspect.Free {
 			return nil
 		}
-		release, ok := j.core.options.Suspects.Try(ctx, j.digest())
+		release, ok := j.core.options.Suspects.StartTrial(ctx, j.digest())
 		if ok {
 			j.core.scope.Counter("suspects_tried").Inc(1)
-			j.log.WithFields(logrus.Fields{"digest": j.digest(), "ends": v.Ends, "counted": v.Attributed}).Info("trial of a suspected request started")
+			j.log.WithFields(logrus.Fields{"digest": j.digest(), "ends": v.Crashes, "counted": v.Attributed}).Info("trial of a suspected request started")
 			j.setTrial(release)
 			return nil
 		}
@@ -101,5 +101,5 @@
 
 // suspected reports whether any server crashed while it worked on the request.
 func (j *job) suspected() bool {
-	return j.core.options.Suspects.Assess(j.digest()).Ends > 0
+	return j.core.options.Suspects.Assess(j.digest()).Crashes > 0
 }
--- a/internal/stageplan/chain_pool_test.go
+++ b/internal/stageplan/chain_pool_test.go
@@ -188,7 +188,7 @@
 			bytes, effort = r.stages[item.Stage].bytes, cmp.Or(r.stages[item.Stage].effort, 1)
 			r.worked += c.spec.CallTime/time.Duration(len(items)) + time.Duration(effort*float64(c.spec.PieceTime))
 		}
-		if state.used+bytes > c.spec.Room {
+		if state.used+bytes > c.spec.ResultCapacity {
 			p.summary.noRoom++
 			made = append(made, stageplan.Outcome{Failure: stageplan.FailureRoom})
 			continue
@@ -196,7 +196,7 @@
 		takes += time.Duration(effort * float64(c.spec.PieceTime))
 		c.handles++
 		handle := fmt.Sprint(c.spec.Service, c.handles)
-		state.held[handle] = chainResult{bytes: bytes, expires: begins.Add(c.spec.Hold + takes)}
+		state.held[handle] = chainResult{bytes: bytes, expires: begins.Add(c.spec.ResultTTL + takes)}
 		state.used += bytes
 		made = append(made, stageplan.Outcome{Handle: handle})
 	}
--- a/internal/stageplan/outcome.go
+++ b/internal/stageplan/outcome.go
@@ -46,7 +46,7 @@
 // they expire.
 func (s *Scheduler) reserveLost(now time.Time, b *Call) {
 	b.server.used -= b.bytes
-	b.server.reserve(fmt.Sprintf("lost %d", b.startedAt.UnixNano()), b.bytes, now.Add(s.spec.Hold))
+	b.server.reserve(fmt.Sprintf("lost %d", b.startedAt.UnixNano()), b.bytes, now.Add(s.spec.ResultTTL))
 }
 
 // CancelUnwanted returns the calls to cancel because no caller has waited for their pieces for
@@ -158,7 +158,7 @@
 			t.Finish(o.Failure)
 		default:
 			r := Result{Handle: o.Handle, Server: state.Address, Zone: state.Zone}
-			state.reserve(o.Handle, t.ResultBytes, now.Add(s.spec.Hold))
+			state.reserve(o.Handle, t.ResultBytes, now.Add(s.spec.ResultTTL))
 			if t.ended || t.results[item.position].Handle != "" {
 				unwanted = append(unwanted, r)
 				continue
--- a/internal/stageplan/replay_test.go
+++ b/internal/stageplan/replay_test.go
@@ -190,7 +190,7 @@
 }
 
 // smallPieces has calls of 70 small pieces.
-var smallPieces = stageplan.Spec{Service: "read", Size: 70, Slots: 1, CallTime: 150 * time.Millisecond, PieceTime: 1800 * time.Microsecond, Hold: 4 * time.Second}
+var smallPieces = stageplan.Spec{Service: "read", Size: 70, Slots: 1, CallTime: 150 * time.Millisecond, PieceTime: 1800 * time.Microsecond, ResultTTL: 4 * time.Second}
 
 // In a pool of 15 servers, nine lose 3 in 10 of their answers for six seconds without any
 // error. Each of them counted as slow because a call was overdue, and seven were idle while
--- a/internal/stageplan/scarce_test.go
+++ b/internal/stageplan/scarce_test.go
@@ -18,9 +18,9 @@
 func scarce() chainLoad {
 	return chainLoad{
 		pools: []poolLoad{
-			{servers: 4, spec: stageplan.Spec{Service: "ledger", Size: 8, Slots: 1, CallTime: 200 * ms, PieceTime: 21 * ms, Room: 18e6, Hold: 4 * time.Second}},
-			{servers: 5, spec: stageplan.Spec{Service: "split", Size: 24, Slots: 1, CallTime: 200 * ms, PieceTime: 7100 * time.Microsecond, Room: 3.1e6, Hold: 4 * time.Second}},
-			{servers: 5, spec: stageplan.Spec{Service: "names", Size: 40, Slots: 1, CallTime: 200 * ms, PieceTime: 4300 * time.Microsecond, Room: 0.52e6, Hold: 4 * time.Second}},
+			{servers: 4, spec: stageplan.Spec{Service: "ledger", Size: 8, Slots: 1, CallTime: 200 * ms, PieceTime: 21 * ms, ResultCapacity: 18e6, ResultTTL: 4 * time.Second}},
+			{servers: 5, spec: stageplan.Spec{Service: "split", Size: 24, Slots: 1, CallTime: 200 * ms, PieceTime: 7100 * time.Microsecond, ResultCapacity: 3.1e6, ResultTTL: 4 * time.Second}},
+			{servers: 5, spec: stageplan.Spec{Service: "names", Size: 40, Slots: 1, CallTime: 200 * ms, PieceTime: 4300 * time.Microsecond, ResultCapacity: 0.52e6, ResultTTL: 4 * time.Second}},
 		},
 		kinds: []kind{
 			{
--- a/internal/stageplan/scheduler.go
+++ b/internal/stageplan/scheduler.go
@@ -292,7 +292,7 @@
 // fill builds a call for a server. It returns nil if no task fits.
 func (s *Scheduler) fill(now time.Time, state *serverState, c callLimits, zones map[string]bool) *Call {
 	b := &Call{server: state, target: state.Server, startedAt: now}
-	room := s.spec.Room - state.used
+	room := s.spec.ResultCapacity - state.used
 	for _, t := range s.waiting {
 		if !s.zoneAllows(now, t, state, zones) || c.skipRetries && t.hasRetries() && now.Sub(t.arrivedAt) < retryWaitLimit {
 			continue
@@ -323,14 +323,14 @@
 // full. Otherwise its pieces end together and in one zone.
 func (s *Scheduler) pieceCount(t *Task, b *Call, maxPieces int, split bool, room int64) int {
 	count := min(len(t.pending), s.spec.Size-len(b.items))
-	if s.spec.Room > 0 && t.ResultBytes > 0 {
+	if s.spec.ResultCapacity > 0 && t.ResultBytes > 0 {
 		count = min(count, int(max(room-b.bytes, 0)/t.ResultBytes))
 	}
 	whole := min(len(t.pending), s.spec.Size)
 	if count > 0 && split {
 		return min(count, maxPieces-len(b.items))
 	}
-	if count < whole && (len(b.items) > 0 || int64(whole)*t.ResultBytes <= s.spec.Room) {
+	if count < whole && (len(b.items) > 0 || int64(whole)*t.ResultBytes <= s.spec.ResultCapacity) {
 		return 0
 	}
 	if len(b.items) > 0 && len(b.items)+count > maxPieces {
--- a/internal/stageplan/work.go
+++ b/internal/stageplan/work.go
@@ -20,10 +20,10 @@
 	// roughly.
 	CallTime  time.Duration
 	PieceTime time.Duration
-	// Room is how many bytes of results a server can hold.
-	Room int64
-	// Hold is how long a server keeps a result that is not released.
-	Hold time.Duration
+	// ResultCapacity is how many bytes of results a server can hold.
+	ResultCapacity int64
+	// ResultTTL is how long a server keeps a result that is not released.
+	ResultTTL time.Duration
 }
 
 // Server is one server of a pool.
@@ -36,9 +36,9 @@
 	Region string
 	// Leaving says that the server must get no new call.
 	Leaving bool
-	// Unreachable says that nothing may be sent to the server, not even releases of results.
+	// Evacuated says that nothing may be sent to the server, not even releases of results.
 	// It implies Leaving.
-	Unreachable bool
+	Evacuated bool
 }
 
 // Work is one stage of one request.
--- a/internal/stagepool/cancel_test.go
+++ b/internal/stagepool/cancel_test.go
@@ -35,7 +35,7 @@
 }
 
 // slowSpec is a service whose calls are expected to take 3 s.
-var slowSpec = stageplan.Spec{Service: "read", Size: 4, Slots: 1, CallTime: 3 * time.Second, PieceTime: time.Millisecond, Hold: 4 * time.Second}
+var slowSpec = stageplan.Spec{Service: "read", Size: 4, Slots: 1, CallTime: 3 * time.Second, PieceTime: time.Millisecond, ResultTTL: 4 * time.Second}
 
 func startHanging(ctx context.Context, spec stageplan.Spec) (*hangingDriver, *stagepool.Group) {
 	f, _ := newFleet(ctx, 1)
--- a/internal/stagepool/group_test.go
+++ b/internal/stagepool/group_test.go
@@ -30,7 +30,7 @@
 	start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	spec  = stageplan.Spec{
 		Service: "read", Size: 8, Slots: 1, CallTime: 150 * time.Millisecond, PieceTime: 16 * time.Millisecond,
-		Room: 39e6, Hold: 4 * time.Second,
+		ResultCapacity: 39e6, ResultTTL: 4 * time.Second,
 	}
 )
 
--- a/internal/stagepool/pool.go
+++ b/internal/stagepool/pool.go
@@ -238,7 +238,7 @@
 	handles := p.pendingFree[address]
 	delete(p.pendingFree, address)
 	server, ok := p.scheduler.Server(address)
-	if !ok || server.Unreachable || len(handles) == 0 {
+	if !ok || server.Evacuated || len(handles) == 0 {
 		// The results expire on a server that nothing can be sent to.
 		p.mu.Unlock()
 		return
--- a/internal/suspect/book.go
+++ b/internal/suspect/book.go
@@ -27,12 +27,12 @@
 	// when it ended are never seen again.
 	endTTL       = time.Hour
 	singleEndTTL = 10 * time.Minute
-	// MaxEnds is the most ends in a book, which take 0.5 MB. 160 engines that crash with
+	// MaxCrashes is the most ends in a book, which take 0.5 MB. 160 engines that crash with
 	// ten requests each cause 1,600 ends.
-	MaxEnds = 4096
+	MaxCrashes = 4096
 	// endsAfterEviction is how many ends an eviction leaves. It is below MaxEnds so that
 	// not every further end scans all of them.
-	endsAfterEviction = MaxEnds * 7 / 8
+	endsAfterEviction = MaxCrashes * 7 / 8
 )
 
 // State is how a request may be handled.
@@ -63,20 +63,20 @@
 // Verdict is the assessment of a request.
 type Verdict struct {
 	State State
-	// Ends is how many servers ended under the request, and Attributed how many of these ends
+	// Crashes is how many servers ended under the request, and Attributed how many of these ends
 	// are attributed to it.
-	Ends       int
+	Crashes    int
 	Attributed int
 	// Until is when a quarantined request may be tried again.
 	Until time.Time
 }
 
-// Book stores the ends of servers under requests that all hosts have reported. It is a
+// CrashSet stores the ends of servers under requests that all hosts have reported. It is a
 // replicated set: books that merged the same ends are equal, whatever the order. It is not
 // safe for concurrent use.
-type Book struct {
+type CrashSet struct {
 	// requests holds the ends under each request. It has no empty entries.
-	requests map[Digest]map[Server]*End
+	requests map[Digest]map[Server]*Crash
 	// servers holds the requests that were on each server when it ended. It has no empty
 	// entries.
 	servers map[Server]map[Digest]bool
@@ -86,23 +86,23 @@
 	sum uint64
 }
 
-// NewBook returns an empty book.
-func NewBook() *Book {
-	return &Book{requests: make(map[Digest]map[Server]*End), servers: make(map[Server]map[Digest]bool)}
+// NewCrashSet returns an empty book.
+func NewCrashSet() *CrashSet {
+	return &CrashSet{requests: make(map[Digest]map[Server]*Crash), servers: make(map[Server]map[Digest]bool)}
 }
 
 // Len returns the number of ends.
-func (b *Book) Len() int { return b.count }
+func (b *CrashSet) Len() int { return b.count }
 
 // Sum returns a checksum that is equal for books with the same ends.
-func (b *Book) Sum() uint64 { return b.sum }
+func (b *CrashSet) Sum() uint64 { return b.sum }
 
 // Merge adds ends and returns those that are new or that differ from the known end in more
 // than the time. Expired ends are ignored.
-func (b *Book) Merge(now time.Time, ends ...End) []End {
-	var changed []End
+func (b *CrashSet) Merge(now time.Time, ends ...Crash) []Crash {
+	var changed []Crash
 	for _, e := range ends {
-		if now.Sub(e.EndedAt) >= endTTL {
+		if now.Sub(e.CrashedAt) >= endTTL {
 			continue
 		}
 		old := b.requests[e.Request][e.Server]
@@ -117,15 +117,15 @@
 		}
 		b.sum ^= old.sum()
 	}
-	if b.count > MaxEnds {
+	if b.count > MaxCrashes {
 		b.evict()
 	}
-	return slices.DeleteFunc(changed, func(e End) bool { return b.requests[e.Request][e.Server] == nil })
+	return slices.DeleteFunc(changed, func(e Crash) bool { return b.requests[e.Request][e.Server] == nil })
 }
 
-func (b *Book) insert(e End) {
+func (b *CrashSet) insert(e Crash) {
 	if b.requests[e.Request] == nil {
-		b.requests[e.Request] = make(map[Server]*End)
+		b.requests[e.Request] = make(map[Server]*Crash)
 	}
 	if b.servers[e.Server] == nil {
 		b.servers[e.Server] = make(map[Digest]bool)
@@ -136,7 +136,7 @@
 	b.sum ^= e.sum()
 }
 
-func (b *Book) remove(e *End) {
+func (b *CrashSet) remove(e *Crash) {
 	delete(b.requests[e.Request], e.Server)
 	if len(b.requests[e.Request]) == 0 {
 		delete(b.requests, e.Request)
@@ -151,8 +151,8 @@
 
 // Clear records that a server has answered a request completely, so that the request is
 // not the cause of its ends. It returns the ends that were not yet cleared.
-func (b *Book) Clear(digest Digest) []End {
-	var cleared []End
+func (b *CrashSet) Clear(digest Digest) []Crash {
+	var cleared []Crash
 	for _, e := range b.requests[digest] {
 		if e.Cleared {
 			continue
@@ -166,14 +166,14 @@
 }
 
 // RemoveExpired removes expired ends.
-func (b *Book) RemoveExpired(now time.Time) {
+func (b *CrashSet) RemoveExpired(now time.Time) {
 	for _, ends := range b.requests {
 		ttl := endTTL
 		if len(ends) == 1 {
 			ttl = singleEndTTL
 		}
 		for _, e := range ends {
-			if now.Sub(e.EndedAt) >= ttl {
+			if now.Sub(e.CrashedAt) >= ttl {
 				b.remove(e)
 			}
 		}
@@ -182,9 +182,9 @@
 
 // evict removes ends until endsAfterEviction are left. It removes those of requests with
 // the fewest ends first, and of these the oldest.
-func (b *Book) evict() {
+func (b *CrashSet) evict() {
 	type candidate struct {
-		end         *End
+		end         *Crash
 		requestEnds int
 	}
 	all := make([]candidate, 0, b.count)
@@ -194,16 +194,16 @@
 		}
 	}
 	slices.SortFunc(all, func(x, y candidate) int {
-		return cmp.Or(cmp.Compare(x.requestEnds, y.requestEnds), x.end.EndedAt.Compare(y.end.EndedAt))
+		return cmp.Or(cmp.Compare(x.requestEnds, y.requestEnds), x.end.CrashedAt.Compare(y.end.CrashedAt))
 	})
 	for _, c := range all[:b.count-endsAfterEviction] {
 		b.remove(c.end)
 	}
 }
 
-// Ends returns all ends.
-func (b *Book) Ends() []End {
-	all := make([]End, 0, b.count)
+// Crashes returns all ends.
+func (b *CrashSet) Crashes() []Crash {
+	all := make([]Crash, 0, b.count)
 	for _, ends := range b.requests {
 		for _, e := range ends {
 			all = append(all, *e)
@@ -234,7 +234,7 @@
 }
 
 // evidence returns the evidence against a request.
-func (b *Book) evidence(digest Digest) evidence {
+func (b *CrashSet) evidence(digest Digest) evidence {
 	var s evidence
 	for _, e := range b.requests[digest] {
 		if e.Cleared {
@@ -248,7 +248,7 @@
 
 // soleRequest reports whether the server of an end had no other request, apart from
 // cleared ones.
-func (b *Book) soleRequest(e *End) bool {
+func (b *CrashSet) soleRequest(e *Crash) bool {
 	for other := range b.servers[e.Server] {
 		if other != e.Request && !b.requests[other][e.Server].Cleared {
 			return false
@@ -258,10 +258,10 @@
 }
 
 // Assess returns the verdict on a request.
-func (b *Book) Assess(now time.Time, digest Digest) Verdict {
+func (b *CrashSet) Assess(now time.Time, digest Digest) Verdict {
 	ends := b.requests[digest]
-	v := Verdict{Ends: len(ends)}
-	if v.Ends < suspectThreshold {
+	v := Verdict{Crashes: len(ends)}
+	if v.Crashes < suspectThreshold {
 		return v
 	}
 	var lastEnd time.Time
@@ -271,8 +271,8 @@
 			continue
 		}
 		v.Attributed++
-		if e.EndedAt.After(lastEnd) {
-			lastEnd = e.EndedAt
+		if e.CrashedAt.After(lastEnd) {
+			lastEnd = e.CrashedAt
 		}
 	}
 	if v.Attributed < suspectThreshold {
@@ -292,7 +292,7 @@
 // server: one with stronger evidence, or one with equal evidence whose answer had not begun
 // while the answer of e's request had. A request that only shares servers with harmful
 // requests is therefore not suspected for the ends that they cause.
-func (b *Book) attributedToOther(e *End, ownEvidence evidence) bool {
+func (b *CrashSet) attributedToOther(e *Crash, ownEvidence evidence) bool {
 	for other := range b.servers[e.Server] {
 		if other == e.Request {
 			continue
@@ -313,7 +313,7 @@
 type Entry struct {
 	Digest     Digest    `json:"digest"`
 	State      string    `json:"state"`
-	Ends       int       `json:"ends"`
+	Crashes    int       `json:"ends"`
 	Attributed int       `json:"counted"`
 	Last       time.Time `json:"last"`
 	Until      time.Time `json:"until,omitzero"`
@@ -321,23 +321,23 @@
 
 // Entries returns up to most requests under which more than one server ended, those with
 // the most ends first.
-func (b *Book) Entries(now time.Time, most int) []Entry {
+func (b *CrashSet) Entries(now time.Time, most int) []Entry {
 	var entries []Entry
 	for digest, ends := range b.requests {
 		if len(ends) < 2 {
 			continue
 		}
 		v := b.Assess(now, digest)
-		entry := Entry{Digest: digest, State: v.State.String(), Ends: v.Ends, Attributed: v.Attributed, Until: v.Until}
+		entry := Entry{Digest: digest, State: v.State.String(), Crashes: v.Crashes, Attributed: v.Attributed, Until: v.Until}
 		for _, e := range ends {
-			if e.EndedAt.After(entry.Last) {
-				entry.Last = e.EndedAt
+			if e.CrashedAt.After(entry.Last) {
+				entry.Last = e.CrashedAt
 			}
 		}
 		entries = append(entries, entry)
 	}
 	slices.SortFunc(entries, func(x, y Entry) int {
-		return cmp.Or(cmp.Compare(y.Ends, x.Ends), cmp.Compare(x.Digest, y.Digest))
+		return cmp.Or(cmp.Compare(y.Crashes, x.Crashes), cmp.Compare(x.Digest, y.Digest))
 	})
 	return entries[:min(len(entries), most)]
 }
--- a/internal/suspect/book_test.go
+++ b/internal/suspect/book_test.go
@@ -16,13 +16,13 @@
 var start = time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
 
 // endOf returns the end of a server under a request, at the given time after start.
-func endOf(request suspect.Digest, server int, after time.Duration) suspect.End {
-	return suspect.End{Request: request, Server: suspect.Server(server), EndedAt: start.Add(after)}
+func endOf(request suspect.Digest, server int, after time.Duration) suspect.Crash {
+	return suspect.Crash{Request: request, Server: suspect.Server(server), CrashedAt: start.Add(after)}
 }
 
 // endsUnder returns the ends of several servers under a request, one second apart.
-func endsUnder(request suspect.Digest, servers int) []suspect.End {
-	var ends []suspect.End
+func endsUnder(request suspect.Digest, servers int) []suspect.Crash {
+	var ends []suspect.Crash
 	for i := range servers {
 		ends = append(ends, endOf(request, i, time.Duration(i)*time.Second))
 	}
@@ -30,7 +30,7 @@
 }
 
 func TestRequestBecomesSuspectedThenQuarantined(t *testing.T) {
-	b := suspect.NewBook()
+	b := suspect.NewCrashSet()
 	now := start.Add(10 * time.Second)
 	for i, want := range []suspect.State{suspect.Free, suspect.Free, suspect.Suspected, suspect.Suspected, suspect.Quarantined} {
 		b.Merge(now, endOf(1, i, time.Duration(i)*time.Second))
@@ -42,14 +42,14 @@
 
 // A quarantined request may be tried once after each quarantine, and its ends expire.
 func TestQuarantineAndEndsExpire(t *testing.T) {
-	b := suspect.NewBook()
+	b := suspect.NewCrashSet()
 	b.Merge(start.Add(5*time.Second), endsUnder(1, 5)...)
 	v := b.Assess(start.Add(5*time.Second), 1)
 	assert.Equal(t, v.State, suspect.Quarantined)
 	assert.Equal(t, v.Until, start.Add(4*time.Second+10*time.Minute))
 	assert.Equal(t, b.Assess(v.Until, 1).State, suspect.Suspected)
 
-	b.Merge(v.Until, suspect.End{Request: 1, Server: 99, EndedAt: v.Until})
+	b.Merge(v.Until, suspect.Crash{Request: 1, Server: 99, CrashedAt: v.Until})
 	second := b.Assess(v.Until, 1)
 	assert.Equal(t, second.State, suspect.Quarantined)
 	assert.Equal(t, second.Until, v.Until.Add(20*time.Minute))
@@ -60,14 +60,14 @@
 }
 
 func TestSingleEndOfRequestExpiresSooner(t *testing.T) {
-	b := suspect.NewBook()
+	b := suspect.NewCrashSet()
 	b.Merge(start, endOf(1, 1, 0), endOf(2, 2, 0), endOf(2, 3, 0))
 	b.RemoveExpired(start.Add(10 * time.Minute))
 	assert.Equal(t, b.Len(), 2)
 }
 
 func TestClearResetsEndsOfRequest(t *testing.T) {
-	b := suspect.NewBook()
+	b := suspect.NewCrashSet()
 	now := start.Add(10 * time.Second)
 	ends := endsUnder(1, 5)
 	b.Merge(now, ends...)
@@ -88,14 +88,14 @@
 // A request that was never answered, and was on ten servers that another request ended, must
 // not be blamed for these ends.
 func TestEndIsAttributedToRequestWithMostEnds(t *testing.T) {
-	b := suspect.NewBook()
+	b := suspect.NewCrashSet()
 	now := start.Add(20 * time.Second)
 	b.Merge(now, endsUnder(1, 12)...)
 	b.Merge(now, endsUnder(2, 10)...)
 	assert.Equal(t, b.Assess(now, 1).State, suspect.Quarantined)
 	v := b.Assess(now, 2)
 	assert.Equal(t, v.State, suspect.Free)
-	assert.Equal(t, v.Ends, 10)
+	assert.Equal(t, v.Crashes, 10)
 	assert.Equal(t, v.Attributed, 0)
 	// Once a server has answered the other request, that request is not the cause.
 	b.Clear(1)
@@ -105,7 +105,7 @@
 // Two harmful requests end five servers each, one of them with no other request on it. A
 // third request is on the other four of each: its eight ends are attributed to the two.
 func TestRequestSharingServersWithTwoHarmfulOnesIsFree(t *testing.T) {
-	b := suspect.NewBook()
+	b := suspect.NewCrashSet()
 	now := start.Add(20 * time.Second)
 	for server := range 10 {
 		harmful := suspect.Digest(1 + server/5)
@@ -118,14 +118,14 @@
 	assert.Equal(t, b.Assess(now, 2).State, suspect.Quarantined)
 	v := b.Assess(now, 3)
 	assert.Equal(t, v.State, suspect.Free)
-	assert.Equal(t, v.Ends, 8)
+	assert.Equal(t, v.Crashes, 8)
 	assert.Equal(t, v.Attributed, 0)
 }
 
 // Of two requests on the same servers, the one whose answers had begun was already running
 // when the other began, so the other one is blamed.
 func TestRequestWhoseAnswerHadBegunIsNotBlamed(t *testing.T) {
-	b := suspect.NewBook()
+	b := suspect.NewCrashSet()
 	now := start.Add(20 * time.Second)
 	b.Merge(now, endsUnder(1, 3)...)
 	for _, e := range endsUnder(2, 3) {
@@ -141,13 +141,13 @@
 	random := rand.New(rand.NewPCG(1, 1))
 	now := start.Add(time.Minute)
 	for range 200 {
-		var reported []suspect.End
+		var reported []suspect.Crash
 		for range 30 {
 			e := endOf(suspect.Digest(random.IntN(5)), random.IntN(8), time.Duration(random.IntN(60))*time.Second)
 			e.Answered, e.Cleared = random.IntN(2) == 0, random.IntN(8) == 0
 			reported = append(reported, e)
 		}
-		first, second := suspect.NewBook(), suspect.NewBook()
+		first, second := suspect.NewCrashSet(), suspect.NewCrashSet()
 		first.Merge(now, reported...)
 		random.Shuffle(len(reported), func(i, j int) { reported[i], reported[j] = reported[j], reported[i] })
 		for _, e := range reported {
@@ -163,19 +163,19 @@
 }
 
 func TestBookEvictsEndsBeyondLimit(t *testing.T) {
-	b := suspect.NewBook()
+	b := suspect.NewCrashSet()
 	now := start.Add(time.Second)
 	b.Merge(now, endsUnder(1, 5)...)
-	for i := range 2 * suspect.MaxEnds {
+	for i := range 2 * suspect.MaxCrashes {
 		b.Merge(now, endOf(suspect.Digest(10+i), 100+i%7, 0))
 	}
-	assert.Assert(t, b.Len() <= suspect.MaxEnds && b.Len() > suspect.MaxEnds/2, "%d ends", b.Len())
-	assert.Equal(t, len(b.Ends()), b.Len())
+	assert.Assert(t, b.Len() <= suspect.MaxCrashes && b.Len() > suspect.MaxCrashes/2, "%d ends", b.Len())
+	assert.Equal(t, len(b.Crashes()), b.Len())
 	assert.Equal(t, b.Assess(now, 1).State, suspect.Quarantined, "the request with the most ends was evicted")
 }
 
 func TestEntriesListsRequestsWithSeveralEnds(t *testing.T) {
-	b := suspect.NewBook()
+	b := suspect.NewCrashSet()
 	now := start.Add(10 * time.Second)
 	b.Merge(now, endsUnder(1, 5)...)
 	b.Merge(now, endOf(2, 50, 0), endOf(2, 51, 0), endOf(3, 52, 0))
@@ -188,7 +188,7 @@
 }
 
 func TestTriesAllowsOneTryPerRequest(t *testing.T) {
-	tries := suspect.NewTries()
+	tries := suspect.NewTrials()
 	assert.Assert(t, tries.Begin(start, 1))
 	assert.Assert(t, !tries.Begin(start, 1))
 	assert.Assert(t, tries.Begin(start, 2))
@@ -201,9 +201,9 @@
 func FuzzBook(f *testing.F) {
 	f.Add([]byte{1, 2, 3, 0, 1, 3, 3, 1, 1, 4, 3, 2})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		first, second := suspect.NewBook(), suspect.NewBook()
+		first, second := suspect.NewCrashSet(), suspect.NewCrashSet()
 		now := start.Add(2 * time.Hour)
-		var reported []suspect.End
+		var reported []suspect.Crash
 		for ; len(data) >= 4; data = data[4:] {
 			e := endOf(suspect.Digest(data[0]%8), int(data[1]%16), time.Duration(data[2])*time.Minute)
 			e.Answered, e.Cleared = data[3]&1 != 0, data[3]&2 != 0
@@ -211,13 +211,13 @@
 			first.Merge(now, e)
 		}
 		second.Merge(now, reported...)
-		second.Merge(now, first.Ends()...)
-		if first.Sum() != second.Sum() || first.Len() != second.Len() || first.Len() != len(first.Ends()) {
+		second.Merge(now, first.Crashes()...)
+		if first.Sum() != second.Sum() || first.Len() != second.Len() || first.Len() != len(first.Crashes()) {
 			t.Fatalf("%d and %d ends", first.Len(), second.Len())
 		}
 		for d := range suspect.Digest(8) {
 			v := first.Assess(now, d)
-			if v.Attributed > v.Ends || v.State == suspect.Quarantined && !now.Before(v.Until) {
+			if v.Attributed > v.Crashes || v.State == suspect.Quarantined && !now.Before(v.Until) {
 				t.Fatalf("%+v", v)
 			}
 		}
@@ -234,8 +234,8 @@
 	crashedRequests = 10
 )
 
-func crashEnds() []suspect.End {
-	var ends []suspect.End
+func crashEnds() []suspect.Crash {
+	var ends []suspect.Crash
 	for i := range crashedServers * crashedRequests {
 		ends = append(ends, endOf(suspect.Digest(i), i/crashedRequests, 0))
 	}
@@ -245,12 +245,12 @@
 func BenchmarkMergeCrashOfAllServers(b *testing.B) {
 	ends := crashEnds()
 	for b.Loop() {
-		suspect.NewBook().Merge(start, ends...)
+		suspect.NewCrashSet().Merge(start, ends...)
 	}
 }
 
 func BenchmarkOf(b *testing.B) {
-	book := suspect.NewBook()
+	book := suspect.NewCrashSet()
 	book.Merge(start, crashEnds()...)
 	book.Merge(start, endsUnder(5, 6)...)
 	for b.Loop() {
--- a/internal/suspect/end.go
+++ b/internal/suspect/end.go
@@ -18,8 +18,8 @@
 	return Server(xxhash.Sum64String(instance))
 }
 
-// End records that a run of a backend server ended while it was handling a request.
-type End struct {
+// Crash records that a run of a backend server ended while it was handling a request.
+type Crash struct {
 	Request Digest
 	Server  Server
 	// Answered says that the answer had begun. If hosts disagree, false wins.
@@ -27,24 +27,24 @@
 	// Cleared says that a server has since answered the request completely, so that the end
 	// does not count against the request. It is never reset.
 	Cleared bool
-	// EndedAt is when the server ended: the earliest time that a host reported.
-	EndedAt time.Time
+	// CrashedAt is when the server ended: the earliest time that a host reported.
+	CrashedAt time.Time
 }
 
 // merge merges another host's report of the same end, and reports whether anything but the
 // time has changed.
-func (e *End) merge(other End) bool {
+func (e *Crash) merge(other Crash) bool {
 	old := *e
 	e.Answered = e.Answered && other.Answered
 	e.Cleared = e.Cleared || other.Cleared
-	if other.EndedAt.Before(e.EndedAt) {
-		e.EndedAt = other.EndedAt
+	if other.CrashedAt.Before(e.CrashedAt) {
+		e.CrashedAt = other.CrashedAt
 	}
 	return e.Answered != old.Answered || e.Cleared != old.Cleared
 }
 
 // sum returns the checksum of the end, which does not cover its time.
-func (e *End) sum() uint64 {
+func (e *Crash) sum() uint64 {
 	var b [18]byte
 	binary.LittleEndian.PutUint64(b[:], uint64(e.Request))
 	binary.LittleEndian.PutUint64(b[8:], uint64(e.Server))
--- a/internal/suspect/tries.go
+++ b/internal/suspect/tries.go
@@ -10,27 +10,27 @@
 // reported within that time.
 const tryTimeout = 3 * time.Second
 
-// Tries tracks the tries of suspected requests and allows one at a time for each request.
+// Trials tracks the tries of suspected requests and allows one at a time for each request.
 // It is not safe for concurrent use.
-type Tries struct {
+type Trials struct {
 	// expiresAt holds when each try times out.
 	expiresAt map[Digest]time.Time
 }
 
-// NewTries returns a Tries without any try.
-func NewTries() *Tries {
-	return &Tries{expiresAt: make(map[Digest]time.Time)}
+// NewTrials returns a Tries without any try.
+func NewTrials() *Trials {
+	return &Trials{expiresAt: make(map[Digest]time.Time)}
 }
 
 // Begin begins a try and reports true, unless a try of the request is in progress or
 // MaxEnds tries are.
-func (t *Tries) Begin(now time.Time, digest Digest) bool {
+func (t *Trials) Begin(now time.Time, digest Digest) bool {
 	for d, expiresAt := range t.expiresAt {
 		if !now.Before(expiresAt) {
 			delete(t.expiresAt, d)
 		}
 	}
-	if _, ok := t.expiresAt[digest]; ok || len(t.expiresAt) >= MaxEnds {
+	if _, ok := t.expiresAt[digest]; ok || len(t.expiresAt) >= MaxCrashes {
 		return false
 	}
 	t.expiresAt[digest] = now.Add(tryTimeout)
@@ -38,6 +38,6 @@
 }
 
 // End ends the try of a request, if any.
-func (t *Tries) End(digest Digest) {
+func (t *Trials) End(digest Digest) {
 	delete(t.expiresAt, digest)
 }
--- a/internal/trial/group.go
+++ b/internal/trial/group.go
@@ -24,12 +24,12 @@
 type Options struct {
 	Owners *owner.Finder
 	// Spread sends ends to the other hosts.
-	Spread func(ends []suspect.End)
-	// RequestTry asks a host to grant a try. NotifyTryOver notifies it that the try is over.
-	RequestTry    func(ctx context.Context, peer netip.AddrPort, digest suspect.Digest) (bool, error)
-	NotifyTryOver func(peer netip.AddrPort, digest suspect.Digest)
-	Log           logrus.FieldLogger
-	Scope         tally.Scope
+	Spread func(ends []suspect.Crash)
+	// RequestTrial asks a host to grant a try. NotifyTryOver notifies it that the try is over.
+	RequestTrial func(ctx context.Context, peer netip.AddrPort, digest suspect.Digest) (bool, error)
+	ReleaseTrial func(peer netip.AddrPort, digest suspect.Digest)
+	Log          logrus.FieldLogger
+	Scope        tally.Scope
 }
 
 // Group is one host's record of the ends of servers under requests and of the tries that
@@ -41,15 +41,15 @@
 	ends atomic.Int64
 
 	mu    sync.Mutex
-	book  *suspect.Book
-	tries *suspect.Tries
+	book  *suspect.CrashSet
+	tries *suspect.Trials
 	// loggedStates holds the state last logged of each request, unless that is free.
 	loggedStates map[suspect.Digest]suspect.State
 }
 
 // New returns a group without ends.
 func New(options Options) *Group {
-	return &Group{options: options, book: suspect.NewBook(), tries: suspect.NewTries(), loggedStates: make(map[suspect.Digest]suspect.State)}
+	return &Group{options: options, book: suspect.NewCrashSet(), tries: suspect.NewTrials(), loggedStates: make(map[suspect.Digest]suspect.State)}
 }
 
 // Sum returns a checksum that is equal for hosts that know the same ends.
@@ -60,14 +60,14 @@
 }
 
 // Ends returns all known ends.
-func (g *Group) Ends() []suspect.End {
+func (g *Group) Crashes() []suspect.Crash {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.book.Ends()
+	return g.book.Crashes()
 }
 
 // Merge adds ends that another host reported, and returns those that are new or changed.
-func (g *Group) Merge(ends []suspect.End) []suspect.End {
+func (g *Group) Merge(ends []suspect.Crash) []suspect.Crash {
 	now := time.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -80,8 +80,8 @@
 	return changed
 }
 
-// RecordEnds adds ends that this host has observed, and sends them to the other hosts.
-func (g *Group) RecordEnds(ends []suspect.End) {
+// RecordCrashes adds ends that this host has observed, and sends them to the other hosts.
+func (g *Group) RecordCrashes(ends []suspect.Crash) {
 	g.options.Spread(g.Merge(ends))
 }
 
@@ -100,7 +100,7 @@
 
 // recordChanges logs the requests whose state has changed by ends, and updates the counters
 // and gauges. The mutex must be held.
-func (g *Group) recordChanges(now time.Time, ends []suspect.End) {
+func (g *Group) recordChanges(now time.Time, ends []suspect.Crash) {
 	g.ends.Store(int64(g.book.Len()))
 	g.options.Scope.Gauge("suspect_ends").Update(float64(g.book.Len()))
 	for _, e := range ends {
@@ -108,7 +108,7 @@
 	}
 	// A request whose ends have expired is removed from the map when it is next looked up;
 	// the map must be bounded as this may never happen.
-	if len(g.loggedStates) > suspect.MaxEnds {
+	if len(g.loggedStates) > suspect.MaxCrashes {
 		clear(g.loggedStates)
 	}
 	g.options.Scope.Gauge("suspect_requests").Update(float64(len(g.loggedStates)))
@@ -122,7 +122,7 @@
 		return v
 	}
 	log := g.options.Log.WithFields(logrus.Fields{
-		"digest": digest, "state": v.State, "before": g.loggedStates[digest], "ends": v.Ends, "counted": v.Attributed,
+		"digest": digest, "state": v.State, "before": g.loggedStates[digest], "ends": v.Crashes, "counted": v.Attributed,
 	})
 	if v.State == suspect.Free {
 		delete(g.loggedStates, digest)
@@ -161,7 +161,7 @@
 
 // Begin begins a try for another host and reports true, unless a try is in progress or the
 // request is quarantined.
-func (g *Group) Begin(digest suspect.Digest) bool {
+func (g *Group) GrantTrial(digest suspect.Digest) bool {
 	now := time.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -169,19 +169,19 @@
 }
 
 // End ends the try of a request.
-func (g *Group) End(digest suspect.Digest) {
+func (g *Group) EndTrial(digest suspect.Digest) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.tries.End(digest)
 }
 
-// Try begins a try of a suspected request, and reports false if one is in progress on any
+// StartTrial begins a try of a suspected request, and reports false if one is in progress on any
 // host. The caller must call over at the end of the try, unless it ended a server.
-func (g *Group) Try(ctx context.Context, digest suspect.Digest) (over func(), ok bool) {
+func (g *Group) StartTrial(ctx context.Context, digest suspect.Digest) (over func(), ok bool) {
 	for _, p := range g.options.Owners.PeersFor(digest.String(), maxOwnersTried) {
-		granted, err := g.options.RequestTry(ctx, p.Control, digest)
+		granted, err := g.options.RequestTrial(ctx, p.Control, digest)
 		if err == nil {
-			return func() { g.options.NotifyTryOver(p.Control, digest) }, granted
+			return func() { g.options.ReleaseTrial(p.Control, digest) }, granted
 		}
 		if ctx.Err() != nil {
 			return nil, false
@@ -190,7 +190,7 @@
 		g.options.Scope.Counter("owner_failed").Inc(1)
 		g.options.Log.WithError(err).WithFields(logrus.Fields{"peer": p.Address, "digest": digest}).Warn("the owner of a suspected request failed")
 	}
-	return func() { g.End(digest) }, g.Begin(digest)
+	return func() { g.EndTrial(digest) }, g.GrantTrial(digest)
 }
 
 // State returns up to most requests under which several servers ended, for the diagnostic
--- a/internal/trial/group_test.go
+++ b/internal/trial/group_test.go
@@ -46,22 +46,22 @@
 	for _, p := range peers {
 		g := trial.New(trial.Options{
 			Owners: owner.NewFinder(p.Address, func() *owner.Hosts { return live }),
-			Spread: func(ends []suspect.End) {
+			Spread: func(ends []suspect.Crash) {
 				for address, other := range h.groups {
 					if address != p.Address {
 						other.Merge(ends)
 					}
 				}
 			},
-			RequestTry: func(_ context.Context, peer netip.AddrPort, digest suspect.Digest) (bool, error) {
+			RequestTrial: func(_ context.Context, peer netip.AddrPort, digest suspect.Digest) (bool, error) {
 				if h.down[peer] {
 					return false, errDown
 				}
-				return h.groups[peer].Begin(digest), nil
+				return h.groups[peer].GrantTrial(digest), nil
 			},
-			NotifyTryOver: func(peer netip.AddrPort, digest suspect.Digest) { h.groups[peer].End(digest) },
-			Log:           log,
-			Scope:         h.scope,
+			ReleaseTrial: func(peer netip.AddrPort, digest suspect.Digest) { h.groups[peer].EndTrial(digest) },
+			Log:          log,
+			Scope:        h.scope,
 		})
 		h.groups[p.Address] = g
 		list = append(list, g)
@@ -69,36 +69,36 @@
 	return h, list
 }
 
-func endOf(digest suspect.Digest, server int) []suspect.End {
-	return []suspect.End{{Request: digest, Server: suspect.ServerOf(fmt.Sprint("i-", server)), EndedAt: time.Now()}}
+func endOf(digest suspect.Digest, server int) []suspect.Crash {
+	return []suspect.Crash{{Request: digest, Server: suspect.ServerOf(fmt.Sprint("i-", server)), CrashedAt: time.Now()}}
 }
 
 func TestTriesOfRequestRunOneAtATimeAcrossHosts(t *testing.T) {
 	_, list := newHosts(4)
 	for i := range 3 {
-		list[i].RecordEnds(endOf(1, i))
+		list[i].RecordCrashes(endOf(1, i))
 	}
 	var endTry func()
 	granted := 0
 	for _, g := range list {
 		assert.Equal(t, g.Assess(1).State, suspect.Suspected)
-		if end, ok := g.Try(t.Context(), 1); ok {
+		if end, ok := g.StartTrial(t.Context(), 1); ok {
 			granted++
 			endTry = end
 		}
 	}
 	assert.Equal(t, granted, 1)
 	endTry()
-	_, ok := list[3].Try(t.Context(), 1)
+	_, ok := list[3].StartTrial(t.Context(), 1)
 	assert.Assert(t, ok)
 	// The end of a server ends the try.
-	list[0].RecordEnds(endOf(1, 3))
-	_, ok = list[2].Try(t.Context(), 1)
+	list[0].RecordCrashes(endOf(1, 3))
+	_, ok = list[2].StartTrial(t.Context(), 1)
 	assert.Assert(t, ok)
-	list[0].RecordEnds(endOf(1, 4))
+	list[0].RecordCrashes(endOf(1, 4))
 	for _, g := range list {
 		assert.Equal(t, g.Assess(1).State, suspect.Quarantined)
-		_, ok = g.Try(t.Context(), 1)
+		_, ok = g.StartTrial(t.Context(), 1)
 		assert.Assert(t, !ok)
 	}
 }
@@ -106,14 +106,14 @@
 func TestTryIsGrantedLocallyWhenOwnersAreDown(t *testing.T) {
 	h, list := newHosts(4)
 	for i := range 3 {
-		list[i].RecordEnds(endOf(1, i))
+		list[i].RecordCrashes(endOf(1, i))
 	}
 	for address := range h.groups {
 		h.down[address] = true
 	}
-	_, ok := list[1].Try(t.Context(), 1)
+	_, ok := list[1].StartTrial(t.Context(), 1)
 	assert.Assert(t, ok)
-	_, ok = list[1].Try(t.Context(), 1)
+	_, ok = list[1].StartTrial(t.Context(), 1)
 	assert.Assert(t, !ok)
 }
 
@@ -121,7 +121,7 @@
 func TestStateOfRequestIsLoggedAndReported(t *testing.T) {
 	h, list := newHosts(2)
 	for i := range 5 {
-		list[0].RecordEnds(endOf(1, i))
+		list[0].RecordCrashes(endOf(1, i))
 	}
 	for _, state := range []string{"state=suspected", "state=kept", "digest=0000000000000001", "counted=5", "for_ms=", "before=suspected"} {
 		assert.Check(t, strings.Contains(h.log.String(), state), "no %s in %s", state, h.log.String())
