--- a/internal/admit/admit.go
+++ b/internal/admit/admit.go
@@ -4,8 +4,8 @@
 // Package admit decides which requests to refuse on arrival because the pools of their stages
 // are overloaded. It uses neither a clock nor the network.
 //
-// The load pattern: for seconds more requests arrive than the pools of their stages can serve.
-// Work of earlier stages for a request that is late at a later stage is wasted, and the
+// It handles bursts, in which for some seconds more requests arrive than the pools of their stages
+// can serve. Work of earlier stages for a request that is late at a later stage is wasted, and the
 // capacity is lost to other requests.
 package admit
 
--- a/internal/choose/choose.go
+++ b/internal/choose/choose.go
@@ -36,9 +36,9 @@
 type Costs struct {
 	// Work is how long the call takes at an idle server.
 	Work time.Duration
-	// CrossZoneTime is the additional time of another availability zone.
+	// CrossZoneTime is the additional time of a call to another availability zone.
 	CrossZoneTime time.Duration
-	// CacheMissTime is the additional time of a prefix that is not cached.
+	// CacheMissTime is the additional time of a call whose prefix is not cached.
 	CacheMissTime time.Duration
 }
 
@@ -54,8 +54,8 @@
 // reportHalfLife is the half-life of the weight of a report.
 const reportHalfLife = 500 * time.Millisecond
 
-// LeastTime compares a few random candidates and all warm ones by their expected response
-// time. It does not allocate.
+// LeastTime compares by expected response time a few random candidates and all that have likely
+// cached the prompt's prefix. It does not allocate.
 func LeastTime(candidates []Candidate, costs Costs, random *rand.Rand) int {
 	best, bestTime := -1, math.Inf(1)
 	consider := func(i int) {
--- a/internal/dispatch/pool.go
+++ b/internal/dispatch/pool.go
@@ -30,8 +30,8 @@
 	Queue queue.Policy
 	// Limit bounds the calls in flight at each server.
 	Limit limit.Options
-	// CrossZoneTime is the extra time of a call to another availability zone, and Cold that of a
-	// call to a server that does not hold the prompt's prefix.
+	// CrossZoneTime is the additional time of a call to another availability zone, and
+	// CacheMissTime that of a call to a server that has not cached the prompt's prefix.
 	CrossZoneTime time.Duration
 	CacheMissTime time.Duration
 	// MaxWaiting is the most calls that may wait in the queue of one model.
@@ -236,8 +236,8 @@
 	if free == 0 || p.inFlight >= wholeCalls(total) {
 		return false
 	}
-	urgentOnly := p.options.Queue == queue.FairSlack && p.inFlight >= wholeCalls(backgroundShare*total)
-	w, ok := modelQueue.Pop(urgentOnly)
+	interactiveOnly := p.options.Queue == queue.FairSlack && p.inFlight >= wholeCalls(backgroundShare*total)
+	w, ok := modelQueue.Pop(interactiveOnly)
 	if !ok {
 		return false
 	}
--- a/internal/enginepool/group.go
+++ b/internal/enginepool/group.go
@@ -50,8 +50,8 @@
 	mu sync.Mutex
 	// services holds the engines of each service, divided into shards.
 	services map[string]*owner.PartitionedMap[string, *placing.Engine]
-	// books holds this host's records of the engines of a shard.
-	books map[shard]*placing.Scheduler
+	// schedulers holds this host's records of the engines of each shard.
+	schedulers map[shard]*placing.Scheduler
 	// reports are queued for the next PlaceRequest to the owner of their shard.
 	reports map[shard][]placing.Report
 }
@@ -79,11 +79,11 @@
 // when ctx is done.
 func New(ctx context.Context, options Options) *Group {
 	return &Group{
-		options:  options,
-		ctx:      ctx,
-		services: make(map[string]*owner.PartitionedMap[string, *placing.Engine]),
-		books:    make(map[shard]*placing.Scheduler),
-		reports:  make(map[shard][]placing.Report),
+		options:    options,
+		ctx:        ctx,
+		services:   make(map[string]*owner.PartitionedMap[string, *placing.Engine]),
+		schedulers: make(map[shard]*placing.Scheduler),
+		reports:    make(map[shard][]placing.Report),
 	}
 }
 
@@ -95,8 +95,8 @@
 	g.Change(changes)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for s, b := range g.books {
-		b.SetEngines(g.enginesOfShard(s))
+	for s, scheduler := range g.schedulers {
+		scheduler.SetEngines(g.enginesOfShard(s))
 	}
 }
 
@@ -118,13 +118,13 @@
 		}
 		changedShards[shard{service: c.Service, number: engines.PartOf(instance)}] = true
 	}
-	redivided := make(map[string]bool)
+	repartitioned := make(map[string]bool)
 	for service, engines := range g.services {
-		redivided[service] = engines.Repartition()
+		repartitioned[service] = engines.Repartition()
 	}
-	for s, b := range g.books {
-		if changedShards[s] || redivided[s.service] {
-			b.SetEngines(g.enginesOfShard(s))
+	for s, scheduler := range g.schedulers {
+		if changedShards[s] || repartitioned[s.service] {
+			scheduler.SetEngines(g.enginesOfShard(s))
 		}
 	}
 }
@@ -201,16 +201,16 @@
 	return g.placeLocally(shard, p, reports)
 }
 
-// book returns this host's records of a shard, and creates them if needed. The mutex must
+// scheduler returns this host's scheduler of a shard, and creates it if needed. The mutex must
 // be held.
-func (g *Group) book(s shard) *placing.Scheduler {
-	b := g.books[s]
-	if b == nil {
-		b = placing.NewScheduler()
-		b.SetEngines(g.enginesOfShard(s))
-		g.books[s] = b
+func (g *Group) scheduler(s shard) *placing.Scheduler {
+	scheduler := g.schedulers[s]
+	if scheduler == nil {
+		scheduler = placing.NewScheduler()
+		scheduler.SetEngines(g.enginesOfShard(s))
+		g.schedulers[s] = scheduler
 	}
-	return b
+	return scheduler
 }
 
 // placeLocally applies reports and places a prompt by this host's records.
@@ -218,11 +218,11 @@
 	now := time.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	b := g.book(s)
+	scheduler := g.scheduler(s)
 	for _, r := range reports {
-		b.Report(now, r)
+		scheduler.Report(now, r)
 	}
-	return b.Place(now, p)
+	return scheduler.Place(now, p)
 }
 
 // reportLocally applies reports to this host's records of a shard.
@@ -230,9 +230,9 @@
 	now := time.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	b := g.book(s)
+	scheduler := g.scheduler(s)
 	for _, r := range reports {
-		b.Report(now, r)
+		scheduler.Report(now, r)
 	}
 }
 
--- a/internal/fleet/member.go
+++ b/internal/fleet/member.go
@@ -61,7 +61,7 @@
 	// Capacity is the capacity of the host relative to other hosts, from 1 to MaxCapacity; 0
 	// means unknown.
 	Capacity int `json:"capacity,omitempty"`
-	// Reads reports whether the publisher answers the member.
+	// Reads reports whether the member can read from the publisher.
 	Reads bool `json:"reads,omitempty"`
 }
 
--- a/internal/notice/book.go
+++ b/internal/notice/registry.go
@@ -30,7 +30,7 @@
 	maxServers = 8192
 )
 
-// Options holds the dependencies of a Book. All are required.
+// Options holds the dependencies of a Registry. All are required.
 type Options struct {
 	// SinceBoot returns the time since boot, including time during which the host was suspended,
 	// because a server's rest goes on during a suspension.
@@ -39,7 +39,7 @@
 	Log       logrus.FieldLogger
 	Scope     tally.Scope
 	// OnLeaving is called once for each run that is found to be leaving, with the source of
-	// the information. The Book's mutex is not held.
+	// the information. The Registry's mutex is not held.
 	OnLeaving func(s Server, source Source)
 }
 
@@ -60,8 +60,8 @@
 	endsAt  time.Duration
 }
 
-// Registry stores which runs of backend servers are leaving or resting, according to the
-// servers' own notices. It is safe for concurrent use.
+// Registry stores which runs of backend servers are leaving or resting, according to the servers'
+// own notices. It is safe for concurrent use.
 type Registry struct {
 	options Options
 
@@ -72,7 +72,7 @@
 	resting map[string]restRecord
 }
 
-// NewRegistry returns an empty book.
+// NewRegistry returns an empty registry.
 func NewRegistry(options Options) *Registry {
 	return &Registry{options: options, leaving: make(map[string]*leavingRecord), resting: make(map[string]restRecord)}
 }
--- a/internal/notice/book_test.go
+++ b/internal/notice/registry_test.go
@@ -23,7 +23,7 @@
 // leavingCalls records the calls of Options.OnLeaving.
 type leavingCalls struct{ lines []string }
 
-func newBook(t *testing.T) (*notice.Registry, *clock, *leavingCalls) {
+func newRegistry(t *testing.T) (*notice.Registry, *clock, *leavingCalls) {
 	t.Helper()
 	c, calls := &clock{}, &leavingCalls{}
 	log := logrus.New()
@@ -42,7 +42,7 @@
 func run(instance string) notice.Server { return notice.Server{Instance: instance} }
 
 func TestLeavingAppliesToOneRun(t *testing.T) {
-	b, _, calls := newBook(t)
+	b, _, calls := newRegistry(t)
 	b.RecordNotice(run("i-1@5"), notice.Notice{Leaving: true})
 	b.RecordNotice(run("i-1@5"), notice.Notice{})
 	b.RecordLeaving(run("i-1@5"), notice.SourcePeer)
@@ -53,7 +53,7 @@
 
 // A run stays leaving for as long as it is listed. Otherwise it is removed after an hour.
 func TestLeavingExpiresWhenRunIsNoLongerListed(t *testing.T) {
-	b, c, _ := newBook(t)
+	b, c, _ := newRegistry(t)
 	b.RecordLeaving(run("listed"), notice.SourceList)
 	b.RecordLeaving(run("gone"), notice.SourceAnswer)
 	for range 3 {
@@ -68,7 +68,7 @@
 // A rest lasts at least as long as requested, and not much longer, even if the host was
 // suspended in the meantime.
 func TestRestEndsAfterRequestedTime(t *testing.T) {
-	b, c, _ := newBook(t)
+	b, c, _ := newRegistry(t)
 	b.RecordNotice(run("i-1"), notice.Notice{Rest: 3 * time.Second})
 	c.now += 3*time.Second - time.Millisecond
 	assert.Assert(t, b.Rest("i-1") > 0)
@@ -78,7 +78,7 @@
 }
 
 func TestShorterRestDoesNotReplaceLongerOne(t *testing.T) {
-	b, c, _ := newBook(t)
+	b, c, _ := newRegistry(t)
 	b.RecordNotice(run("i-1"), notice.Notice{Rest: 10 * time.Second})
 	c.now += time.Second
 	b.RecordNotice(run("i-1"), notice.Notice{Rest: time.Second})
@@ -89,7 +89,7 @@
 
 // A server answers many hosts at about the same time. Their rests must not all end at once.
 func TestRestsHaveJitter(t *testing.T) {
-	b, _, _ := newBook(t)
+	b, _, _ := newRegistry(t)
 	var shortest, longest time.Duration
 	for i := range 50 {
 		s := run(fmt.Sprint(i))
@@ -103,9 +103,9 @@
 	assert.Assert(t, longest-shortest > 300*time.Millisecond, "between %v and %v", shortest, longest)
 }
 
-func TestBookIsBounded(t *testing.T) {
+func TestRegistryIsBounded(t *testing.T) {
 	const many = 10_000
-	b, c, _ := newBook(t)
+	b, c, _ := newRegistry(t)
 	for i := range many {
 		b.RecordNotice(run(fmt.Sprint(i)), notice.Notice{Leaving: true, Rest: time.Second})
 	}
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -13,29 +13,29 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Score returns the rendezvous score of node for key. The node with the highest score owns the
+// Score returns the rendezvous score of host for key. The host with the highest score owns the
 // key.
-func Score(node netip.AddrPort, key string) uint64 {
+func Score(host netip.AddrPort, key string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
-	addr := node.Addr().As16()
-	port := node.Port()
+	addr := host.Addr().As16()
+	port := host.Port()
 	_, _ = d.Write(addr[:])
 	_, _ = d.Write([]byte{byte(port >> 8), byte(port)})
 	_, _ = d.WriteString(key)
 	return d.Sum64()
 }
 
-// Top returns the count nodes with the highest scores for key, the highest first. It returns
-// all nodes if there are fewer, and does not modify nodes.
-func Top(nodes []netip.AddrPort, key string, count int) []netip.AddrPort {
+// Top returns the count hosts with the highest scores for key, the highest first. It returns
+// all hosts if there are fewer, and does not modify hosts.
+func Top(hosts []netip.AddrPort, key string, count int) []netip.AddrPort {
 	score := func(n netip.AddrPort) uint64 { return Score(n, key) }
-	return highest(nodes, count, score, netip.AddrPort.Compare)
+	return highest(hosts, count, score, netip.AddrPort.Compare)
 }
 
-// Of returns the owner of key, or the zero address if there are no nodes.
-func Of(nodes []netip.AddrPort, key string) netip.AddrPort {
-	top := Top(nodes, key, 1)
+// Of returns the owner of key, or the zero address if there are no hosts.
+func Of(hosts []netip.AddrPort, key string) netip.AddrPort {
+	top := Top(hosts, key, 1)
 	if len(top) == 0 {
 		return netip.AddrPort{}
 	}
--- a/internal/owner/partition.go
+++ b/internal/owner/partition.go
@@ -9,7 +9,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Parts returns how many parts to divide items into so that no part has many more than size.
+// Parts returns how many parts to divide items into so that no part has many more than size items.
 func Parts(items, size int) int {
 	return max((items+size-1)/size, 1)
 }
--- a/internal/peer/gossip.go
+++ b/internal/peer/gossip.go
@@ -42,7 +42,7 @@
 	// Confirm checks the publisher for entries newer than the node's, and reports whether the
 	// check succeeded. It is nil if the node does not read the publisher.
 	Confirm func(ctx context.Context, space peerpb.Space) bool
-	// Suspects records backend servers that failed while they served requests. It is nil if
+	// Suspects records backend servers that crashed while they served requests. It is nil if
 	// the node does not share them.
 	Suspects Suspects
 	// Direct reports whether hosts that read changes of a space push them to all others, so
@@ -99,11 +99,11 @@
 	// quickLimiter paces quick heartbeats, levelLimiter the members sent in Level replies.
 	quickLimiter *rate.Limiter
 	levelLimiter *rate.Limiter
-	// endsLimiter paces the ends sent in full synchronisations.
-	endsLimiter *rate.Limiter
-	// endsKnown is closed once this node knows the ends of some other node.
-	endsKnown     chan struct{}
-	endsKnownOnce sync.Once
+	// crashesLimiter paces the crashes sent in full synchronisations.
+	crashesLimiter *rate.Limiter
+	// crashesKnown is closed once this node knows the crashes of some other node.
+	crashesKnown     chan struct{}
+	crashesKnownOnce sync.Once
 	// viewChanged holds a value if the view changed or differs from that of a peer.
 	viewChanged chan struct{}
 
@@ -114,8 +114,8 @@
 	syncing    map[syncKey]*synchronisation
 	random     *rand.Rand
 	heartbeats int
-	// pendingEnds are ends that wait to be spread together.
-	pendingEnds []suspect.Crash
+	// pendingCrashes are crashes that wait to be spread together.
+	pendingCrashes []suspect.Crash
 	// leavingScheduled reports whether a heartbeat with leaving servers is scheduled.
 	leavingScheduled bool
 }
@@ -154,8 +154,8 @@
 		receiveLimiter: newLimiter(options.Link),
 		quickLimiter:   rate.NewLimiter(quickRate, quickBurst),
 		levelLimiter:   newLevelLimiter(),
-		endsLimiter:    rate.NewLimiter(endRate, endBurst),
-		endsKnown:      make(chan struct{}),
+		crashesLimiter: rate.NewLimiter(crashRate, crashBurst),
+		crashesKnown:   make(chan struct{}),
 		viewChanged:    make(chan struct{}, 1),
 		syncing:        make(map[syncKey]*synchronisation),
 		random:         options.Random,
@@ -269,7 +269,7 @@
 		return err
 	}
 	g.reconcile(in.GetMembers()[0], in.GetSummaries())
-	g.reconcileEnds(address, in.GetEnds())
+	g.reconcileCrashes(address, in.GetEnds())
 	if err := g.level(ctx, address, in.GetView()); err != nil && ctx.Err() == nil {
 		// The heartbeat succeeded; the next one detects the same difference.
 		g.options.Log.WithError(err).WithField("peer", address).Debug("cannot level views with peer")
--- a/internal/peer/space.go
+++ b/internal/peer/space.go
@@ -10,7 +10,8 @@
 	"github.com/wingvale/wingvale/internal/published"
 )
 
-// Store holds one space of published values, whatever their type.
+// Store holds one space of published values, whatever their type. The methods are those of
+// published.Store.
 type Store interface {
 	Summary() published.Summary
 	Sums() []uint64
--- a/internal/peer/synchronise.go
+++ b/internal/peer/synchronise.go
@@ -47,15 +47,15 @@
 	})
 }
 
-// Synchronise compares all spaces and the ends of backend servers with up to count live peers,
-// waits for the missing entries, and returns the number of peers with which that succeeded.
+// Synchronise compares all spaces and the known crashes with up to count live peers, waits for the
+// missing entries, and returns the number of peers with which that succeeded.
 func (g *Gossip) Synchronise(ctx context.Context, count int) int {
 	reached := 0
 	for _, m := range g.pickLive(count, netip.AddrPort{}) {
 		if g.exchange(ctx, m.Peer) != nil {
 			continue
 		}
-		ok := g.syncEnds(ctx, m.Peer) == nil
+		ok := g.syncCrashes(ctx, m.Peer) == nil
 		for space := range g.options.Spaces {
 			ok = g.synchroniseAndWait(ctx, m.Peer, space) == nil && ok
 		}
--- a/internal/peerhttp/keepalive.go
+++ b/internal/peerhttp/keepalive.go
@@ -11,12 +11,13 @@
 	"time"
 )
 
-// signInterval is how often a host sends a sign of life while it works on a call.
-const signInterval = 150 * time.Millisecond
+// keepAliveInterval is how often a host sends an informational response while it works on a call.
+const keepAliveInterval = 150 * time.Millisecond
 
 type patientKey struct{}
 
-// Patient marks calls whose responses may take long. Their handlers must be wrapped in KeepAlive.
+// Patient returns a context that marks calls whose responses may take long. Their handlers must be
+// wrapped in KeepAlive.
 func Patient(ctx context.Context) context.Context {
 	return context.WithValue(ctx, patientKey{}, true)
 }
@@ -25,23 +26,23 @@
 	return ctx.Value(patientKey{}) != nil
 }
 
-// KeepAlive returns a handler that sends signs of life, as informational responses, until h
-// responds. The response must not be streamed.
+// KeepAlive returns a handler that sends informational responses until h responds, so that the
+// caller knows that the connection works. The response must not be streamed.
 func KeepAlive(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		s := &signWriter{w: w, header: make(http.Header)}
+		s := &keepAliveWriter{w: w, header: make(http.Header)}
 		s.mu.Lock()
-		s.timer = time.AfterFunc(signInterval, s.sendSign)
+		s.timer = time.AfterFunc(keepAliveInterval, s.sendKeepAlive)
 		s.mu.Unlock()
 		defer s.stop()
 		h.ServeHTTP(s, r)
 	})
 }
 
-// signWriter writes signs of life before the response.
-type signWriter struct {
+// keepAliveWriter sends informational responses before the response.
+type keepAliveWriter struct {
 	w http.ResponseWriter
-	// header is the header of the response, which signs of life must not include.
+	// header is the header of the response, which the informational responses must not include.
 	header http.Header
 
 	mu         sync.Mutex
@@ -49,18 +50,18 @@
 	headerSent bool
 }
 
-func (s *signWriter) sendSign() {
+func (s *keepAliveWriter) sendKeepAlive() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.headerSent {
 		return
 	}
 	s.w.WriteHeader(http.StatusProcessing)
-	s.timer.Reset(signInterval)
+	s.timer.Reset(keepAliveInterval)
 }
 
-// stop ends the signs of life.
-func (s *signWriter) stop() {
+// stop ends the informational responses.
+func (s *keepAliveWriter) stop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.headerSent = true
@@ -68,17 +69,17 @@
 }
 
 // Header returns the header of the response.
-func (s *signWriter) Header() http.Header { return s.header }
+func (s *keepAliveWriter) Header() http.Header { return s.header }
 
 // WriteHeader sends the header of the response.
-func (s *signWriter) WriteHeader(status int) {
+func (s *keepAliveWriter) WriteHeader(status int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.start(status)
 }
 
 // start sends the header of the response, once. The mutex must be held.
-func (s *signWriter) start(status int) {
+func (s *keepAliveWriter) start(status int) {
 	if s.headerSent {
 		return
 	}
@@ -88,7 +89,7 @@
 }
 
 // Write writes part of the response.
-func (s *signWriter) Write(part []byte) (int, error) {
+func (s *keepAliveWriter) Write(part []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.start(http.StatusOK)
--- a/internal/peerhttp/transport.go
+++ b/internal/peerhttp/transport.go
@@ -30,7 +30,7 @@
 	hedgePause = time.Second
 	// silenceTimeout is how long a patient call may be without a sign of life: three
 	// intervals.
-	silenceTimeout = 3 * signInterval
+	silenceTimeout = 3 * keepAliveInterval
 	// maxPatientAttempts bounds how often one patient call is made.
 	maxPatientAttempts = 3
 )
--- a/internal/placing/scheduler.go
+++ b/internal/placing/scheduler.go
@@ -84,7 +84,7 @@
 	Source netip.AddrPort
 }
 
-// Prompt has the properties of a request that determine its place.
+// Prompt has the properties of a request that determine its placement.
 type Prompt struct {
 	// First and Shared are hashes that identify the first shared part and all shared parts; 0
 	// means none.
@@ -254,8 +254,9 @@
 	return healthy, shortestWait
 }
 
-// Home returns the engine of a prompt's shard that is its home by rendezvous hashing. It is
-// empty if the prompt shares nothing or there are no engines.
+// Home returns the engine that should cache a prompt's shared parts: the first engine of the
+// prompt's shard by rendezvous hashing. It returns "" if the prompt has no shared parts or there
+// are no engines.
 func Home(engines []string, p Prompt) string {
 	if p.Shared == 0 {
 		return ""
--- a/internal/placing/shard.go
+++ b/internal/placing/shard.go
@@ -24,8 +24,8 @@
 }
 
 // ShardOfPrompt returns the shard of a prompt. It hashes all shared parts, since a kind of prompt
-// with few first parts would otherwise reach few engines. A prompt that shares nothing is
-// hashed by its size, which is as good as any other key.
+// with few first parts would otherwise reach few engines. A prompt without shared parts is
+// hashed by its size; any other key would do.
 func ShardOfPrompt(p Prompt, shards int) int {
 	hash := p.Shared
 	if hash == 0 {
--- a/internal/publisher/watcher.go
+++ b/internal/publisher/watcher.go
@@ -73,8 +73,8 @@
 	// source answers again. Both may be nil.
 	OnUnavailable func()
 	OnAvailable   func()
-	// OnAnswering is called at the first response, and whenever the source stops or resumes to
-	// answer. It may be nil.
+	// OnAnswering is called at the first response, and whenever the source stops or resumes
+	// answering. It may be nil.
 	OnAnswering func(answers bool)
 	Log         logrus.FieldLogger
 	Random      *rand.Rand
--- a/internal/stageplan/queue_waits.go
+++ b/internal/stageplan/queue_waits.go
@@ -15,8 +15,8 @@
 	1700 * time.Millisecond, 2300 * time.Millisecond, 3000 * time.Millisecond, math.MaxInt64,
 }
 
-// QueueWaits has the expected wait of new work that is due within each of dueSteps. Work that is
-// due sooner goes first, so the waits never decrease.
+// QueueWaits is the expected wait of new work in a pool's queue, by the time until the work is
+// due. Work that is due sooner is served first, so the waits never decrease.
 type QueueWaits [len(dueSteps)]time.Duration
 
 // ForDue returns how long new work waits that is due within the given time.
--- a/internal/stageplan/work.go
+++ b/internal/stageplan/work.go
@@ -36,8 +36,8 @@
 	Region string
 	// Leaving says that the server must get no new call.
 	Leaving bool
-	// Evacuated says that nothing may be sent to the server, not even releases of results.
-	// It implies Leaving.
+	// Evacuated says that nothing may be sent to the server, not even releases of results, because
+	// its zone is being evacuated. It implies Leaving.
 	Evacuated bool
 }
 
@@ -104,9 +104,13 @@
 
 // Reasons why a piece has no result.
 const (
-	FailureLate   Failure = "late"
-	FailureGone   Failure = "gone"
-	FailureRoom   Failure = "room"
+	// FailureLate says that the result cannot be ready in time.
+	FailureLate Failure = "late"
+	// FailureGone says that an input is no longer at the server that held it.
+	FailureGone Failure = "gone"
+	// FailureRoom says that the server has no memory for another result.
+	FailureRoom Failure = "room"
+	// FailureFailed says that the call failed, or that the server reported another error.
 	FailureFailed Failure = "failed"
 	FailureFull   Failure = "full"
 	// FailureClosed says that no server accepts the work.
--- a/internal/stagepool/shard_test.go
+++ b/internal/stagepool/shard_test.go
@@ -85,7 +85,7 @@
 
 // Servers that Change removes or marks as leaving must get no further calls, as after a
 // Configure without them.
-func TestChangeIsEquivalentToConfigure(t *testing.T) {
+func TestServersRemovedOrLeavingByChangeGetNoCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
--- a/internal/suspect/end.go
+++ b/internal/suspect/crash.go
@@ -18,20 +18,20 @@
 	return Server(xxhash.Sum64String(instance))
 }
 
-// Crash records that a run of a backend server ended while it was handling a request.
+// Crash records that a run of a backend server stopped while it was handling a request.
 type Crash struct {
 	Request Digest
 	Server  Server
 	// Answered says that the answer had begun. If hosts disagree, false wins.
 	Answered bool
-	// Cleared says that a server has since answered the request completely, so that the end
+	// Cleared says that a server has since answered the request completely, so that the crash
 	// does not count against the request. It is never reset.
 	Cleared bool
-	// CrashedAt is when the server ended: the earliest time that a host reported.
+	// CrashedAt is when the server stopped: the earliest time that a host reported.
 	CrashedAt time.Time
 }
 
-// merge merges another host's report of the same end, and reports whether anything but the
+// merge merges another host's report of the same crash, and reports whether anything but the
 // time has changed.
 func (e *Crash) merge(other Crash) bool {
 	old := *e
@@ -43,7 +43,7 @@
 	return e.Answered != old.Answered || e.Cleared != old.Cleared
 }
 
-// sum returns the checksum of the end, which does not cover its time.
+// sum returns the checksum of the crash, which does not cover its time.
 func (e *Crash) sum() uint64 {
 	var b [18]byte
 	binary.LittleEndian.PutUint64(b[:], uint64(e.Request))
--- a/internal/suspect/book.go
+++ b/internal/suspect/crash_set.go
@@ -10,29 +10,30 @@
 )
 
 const (
-	// suspectThreshold is how many servers must have ended under a request for it to become
-	// a suspect. One or two end under many requests when servers crash for another reason.
+	// suspectThreshold is how many servers must have crashed under a request for it to become
+	// a suspect. One or two crash under many requests when there is another
+	// reason.
 	suspectThreshold = 3
-	// maxTries is how often a suspect is tried before it is quarantined. An innocent request
+	// maxTrials is how often a suspect is tried before it is quarantined. An innocent request
 	// on three servers that crashed for another reason is answered by the first healthy
-	// server; a harmful request ends two more servers.
-	maxTries = 2
-	// initialQuarantine is how long a request is refused after its tries have ended servers.
-	// It is tried once after that. Each further server that ends doubles the quarantine, up
+	// server; a harmful request crashes two more servers.
+	maxTrials = 2
+	// initialQuarantine is how long a request is refused after its trials have crashed servers.
+	// It is tried once after that. Each further server that crashes doubles the quarantine, up
 	// to maxQuarantine.
 	initialQuarantine = 10 * time.Minute
 	maxQuarantine     = 40 * time.Minute
-	// endTTL is how long an end is stored; it must exceed maxQuarantine. singleEndTTL
-	// applies to the only end under a request, since most requests that were on a server
-	// when it ended are never seen again.
-	endTTL       = time.Hour
-	singleEndTTL = 10 * time.Minute
-	// MaxCrashes is the most ends in a book, which take 0.5 MB. 160 engines that crash with
-	// ten requests each cause 1,600 ends.
+	// crashTTL is how long a crash is stored; it must exceed maxQuarantine. singleCrashTTL
+	// applies to the only crash under a request, since most requests that were on a server
+	// when it crashed are never seen again.
+	crashTTL       = time.Hour
+	singleCrashTTL = 10 * time.Minute
+	// MaxCrashes is the most crashes in a set, which take 0.5 MB. 160 engines that crash with ten
+	// requests each cause 1,600 crashes.
 	MaxCrashes = 4096
-	// endsAfterEviction is how many ends an eviction leaves. It is below MaxEnds so that
-	// not every further end scans all of them.
-	endsAfterEviction = MaxCrashes * 7 / 8
+	// crashesAfterEviction is how many crashes an eviction leaves. It is below MaxCrashes so that
+	// not every further crash scans all of them.
+	crashesAfterEviction = MaxCrashes * 7 / 8
 )
 
 // State is how a request may be handled.
@@ -63,46 +64,46 @@
 // Verdict is the assessment of a request.
 type Verdict struct {
 	State State
-	// Crashes is how many servers ended under the request, and Attributed how many of these ends
-	// are attributed to it.
+	// Crashes is how many servers crashed under the request, and Attributed how many of these
+	// crashes are attributed to it.
 	Crashes    int
 	Attributed int
 	// Until is when a quarantined request may be tried again.
 	Until time.Time
 }
 
-// CrashSet stores the ends of servers under requests that all hosts have reported. It is a
-// replicated set: books that merged the same ends are equal, whatever the order. It is not
-// safe for concurrent use.
+// CrashSet is the set of crashes under requests that all hosts have reported. It is replicated:
+// sets that merged the same crashes are equal, whatever the order. It is not safe for concurrent
+// use.
 type CrashSet struct {
-	// requests holds the ends under each request. It has no empty entries.
+	// requests holds the crashes under each request. It has no empty entries.
 	requests map[Digest]map[Server]*Crash
-	// servers holds the requests that were on each server when it ended. It has no empty
+	// servers holds the requests that were on each server when it crashed. It has no empty
 	// entries.
 	servers map[Server]map[Digest]bool
-	// count is the number of ends, at most MaxEnds.
+	// count is the number of crashes, at most MaxCrashes.
 	count int
-	// sum is the exclusive or of the checksums of all ends.
+	// sum is the exclusive or of the checksums of all crashes.
 	sum uint64
 }
 
-// NewCrashSet returns an empty book.
+// NewCrashSet returns an empty set.
 func NewCrashSet() *CrashSet {
 	return &CrashSet{requests: make(map[Digest]map[Server]*Crash), servers: make(map[Server]map[Digest]bool)}
 }
 
-// Len returns the number of ends.
+// Len returns the number of crashes.
 func (b *CrashSet) Len() int { return b.count }
 
-// Sum returns a checksum that is equal for books with the same ends.
+// Sum returns a checksum that is equal for sets with the same crashes.
 func (b *CrashSet) Sum() uint64 { return b.sum }
 
-// Merge adds ends and returns those that are new or that differ from the known end in more
-// than the time. Expired ends are ignored.
-func (b *CrashSet) Merge(now time.Time, ends ...Crash) []Crash {
+// Merge adds crashes and returns those that are new or that differ from the known crash in more
+// than the time. Expired crashes are ignored.
+func (b *CrashSet) Merge(now time.Time, crashes ...Crash) []Crash {
 	var changed []Crash
-	for _, e := range ends {
-		if now.Sub(e.CrashedAt) >= endTTL {
+	for _, e := range crashes {
+		if now.Sub(e.CrashedAt) >= crashTTL {
 			continue
 		}
 		old := b.requests[e.Request][e.Server]
@@ -150,7 +151,7 @@
 }
 
 // Clear records that a server has answered a request completely, so that the request is
-// not the cause of its ends. It returns the ends that were not yet cleared.
+// not the cause of its crashes. It returns the crashes that were not yet cleared.
 func (b *CrashSet) Clear(digest Digest) []Crash {
 	var cleared []Crash
 	for _, e := range b.requests[digest] {
@@ -165,14 +166,14 @@
 	return cleared
 }
 
-// RemoveExpired removes expired ends.
+// RemoveExpired removes expired crashes.
 func (b *CrashSet) RemoveExpired(now time.Time) {
-	for _, ends := range b.requests {
-		ttl := endTTL
-		if len(ends) == 1 {
-			ttl = singleEndTTL
+	for _, crashes := range b.requests {
+		ttl := crashTTL
+		if len(crashes) == 1 {
+			ttl = singleCrashTTL
 		}
-		for _, e := range ends {
+		for _, e := range crashes {
 			if now.Sub(e.CrashedAt) >= ttl {
 				b.remove(e)
 			}
@@ -180,44 +181,44 @@
 	}
 }
 
-// evict removes ends until endsAfterEviction are left. It removes those of requests with
-// the fewest ends first, and of these the oldest.
+// evict removes crashes until crashesAfterEviction are left. It removes those of requests with
+// the fewest crashes first, and of these the oldest.
 func (b *CrashSet) evict() {
 	type candidate struct {
-		end         *Crash
-		requestEnds int
+		crash          *Crash
+		requestCrashes int
 	}
 	all := make([]candidate, 0, b.count)
-	for _, ends := range b.requests {
-		for _, e := range ends {
-			all = append(all, candidate{end: e, requestEnds: len(ends)})
+	for _, crashes := range b.requests {
+		for _, e := range crashes {
+			all = append(all, candidate{crash: e, requestCrashes: len(crashes)})
 		}
 	}
 	slices.SortFunc(all, func(x, y candidate) int {
-		return cmp.Or(cmp.Compare(x.requestEnds, y.requestEnds), x.end.CrashedAt.Compare(y.end.CrashedAt))
+		return cmp.Or(cmp.Compare(x.requestCrashes, y.requestCrashes), x.crash.CrashedAt.Compare(y.crash.CrashedAt))
 	})
-	for _, c := range all[:b.count-endsAfterEviction] {
-		b.remove(c.end)
+	for _, c := range all[:b.count-crashesAfterEviction] {
+		b.remove(c.crash)
 	}
 }
 
-// Crashes returns all ends.
+// Crashes returns all crashes.
 func (b *CrashSet) Crashes() []Crash {
 	all := make([]Crash, 0, b.count)
-	for _, ends := range b.requests {
-		for _, e := range ends {
+	for _, crashes := range b.requests {
+		for _, e := range crashes {
 			all = append(all, *e)
 		}
 	}
 	return all
 }
 
-// evidence is how strongly the ends under a request suggest that the request caused them.
+// evidence is how strongly the crashes under a request suggest that the request caused them.
 type evidence struct {
-	// alone says that a server ended when this was its only request. ends is how many servers
-	// ended under the request. Cleared ends do not count for either.
-	alone bool
-	ends  int
+	// alone says that a server crashed when this was its only request. crashes is how many servers
+	// crashed under the request. Cleared crashes do not count for either.
+	alone   bool
+	crashes int
 }
 
 // compare orders evidence by strength. A request that was alone on a server ranks above all
@@ -230,7 +231,7 @@
 		}
 		return -1
 	}
-	return cmp.Compare(s.ends, other.ends)
+	return cmp.Compare(s.crashes, other.crashes)
 }
 
 // evidence returns the evidence against a request.
@@ -240,13 +241,13 @@
 		if e.Cleared {
 			continue
 		}
-		s.ends++
+		s.crashes++
 		s.alone = s.alone || b.soleRequest(e)
 	}
 	return s
 }
 
-// soleRequest reports whether the server of an end had no other request, apart from
+// soleRequest reports whether the server of a crash had no other request, apart from
 // cleared ones.
 func (b *CrashSet) soleRequest(e *Crash) bool {
 	for other := range b.servers[e.Server] {
@@ -259,28 +260,28 @@
 
 // Assess returns the verdict on a request.
 func (b *CrashSet) Assess(now time.Time, digest Digest) Verdict {
-	ends := b.requests[digest]
-	v := Verdict{Crashes: len(ends)}
+	crashes := b.requests[digest]
+	v := Verdict{Crashes: len(crashes)}
 	if v.Crashes < suspectThreshold {
 		return v
 	}
-	var lastEnd time.Time
+	var lastCrash time.Time
 	ownEvidence := b.evidence(digest)
-	for _, e := range ends {
+	for _, e := range crashes {
 		if e.Cleared || b.attributedToOther(e, ownEvidence) {
 			continue
 		}
 		v.Attributed++
-		if e.CrashedAt.After(lastEnd) {
-			lastEnd = e.CrashedAt
+		if e.CrashedAt.After(lastCrash) {
+			lastCrash = e.CrashedAt
 		}
 	}
 	if v.Attributed < suspectThreshold {
 		return v
 	}
 	v.State = Suspected
-	if excess := v.Attributed - suspectThreshold - maxTries; excess >= 0 {
-		v.Until = lastEnd.Add(min(initialQuarantine<<min(excess, 8), maxQuarantine))
+	if excess := v.Attributed - suspectThreshold - maxTrials; excess >= 0 {
+		v.Until = lastCrash.Add(min(initialQuarantine<<min(excess, 8), maxQuarantine))
 		if now.Before(v.Until) {
 			v.State = Quarantined
 		}
@@ -288,21 +289,21 @@
 	return v
 }
 
-// attributedToOther reports whether an end is attributed to another request on the same
+// attributedToOther reports whether a crash is attributed to another request on the same
 // server: one with stronger evidence, or one with equal evidence whose answer had not begun
 // while the answer of e's request had. A request that only shares servers with harmful
-// requests is therefore not suspected for the ends that they cause.
+// requests is therefore not suspected for the crashes that they cause.
 func (b *CrashSet) attributedToOther(e *Crash, ownEvidence evidence) bool {
 	for other := range b.servers[e.Server] {
 		if other == e.Request {
 			continue
 		}
-		otherEnd := b.requests[other][e.Server]
-		if otherEnd.Cleared {
+		otherCrash := b.requests[other][e.Server]
+		if otherCrash.Cleared {
 			continue
 		}
 		stronger := b.evidence(other).compare(ownEvidence)
-		if stronger > 0 || stronger == 0 && e.Answered && !otherEnd.Answered {
+		if stronger > 0 || stronger == 0 && e.Answered && !otherCrash.Answered {
 			return true
 		}
 	}
@@ -319,17 +320,17 @@
 	Until      time.Time `json:"until,omitzero"`
 }
 
-// Entries returns up to most requests under which more than one server ended, those with
-// the most ends first.
+// Entries returns up to most requests under which more than one server crashed, those with
+// the most crashes first.
 func (b *CrashSet) Entries(now time.Time, most int) []Entry {
 	var entries []Entry
-	for digest, ends := range b.requests {
-		if len(ends) < 2 {
+	for digest, crashes := range b.requests {
+		if len(crashes) < 2 {
 			continue
 		}
 		v := b.Assess(now, digest)
 		entry := Entry{Digest: digest, State: v.State.String(), Crashes: v.Crashes, Attributed: v.Attributed, Until: v.Until}
-		for _, e := range ends {
+		for _, e := range crashes {
 			if e.CrashedAt.After(entry.Last) {
 				entry.Last = e.CrashedAt
 			}
--- a/internal/suspect/book_test.go
+++ b/internal/suspect/crash_set_test.go
@@ -15,35 +15,35 @@
 
 var start = time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// endOf returns the end of a server under a request, at the given time after start.
-func endOf(request suspect.Digest, server int, after time.Duration) suspect.Crash {
+// crashOf returns the crash of a server under a request, at the given time after start.
+func crashOf(request suspect.Digest, server int, after time.Duration) suspect.Crash {
 	return suspect.Crash{Request: request, Server: suspect.Server(server), CrashedAt: start.Add(after)}
 }
 
-// endsUnder returns the ends of several servers under a request, one second apart.
-func endsUnder(request suspect.Digest, servers int) []suspect.Crash {
-	var ends []suspect.Crash
+// crashesUnder returns the crashes of several servers under a request, one second apart.
+func crashesUnder(request suspect.Digest, servers int) []suspect.Crash {
+	var crashes []suspect.Crash
 	for i := range servers {
-		ends = append(ends, endOf(request, i, time.Duration(i)*time.Second))
+		crashes = append(crashes, crashOf(request, i, time.Duration(i)*time.Second))
 	}
-	return ends
+	return crashes
 }
 
 func TestRequestBecomesSuspectedThenQuarantined(t *testing.T) {
 	b := suspect.NewCrashSet()
 	now := start.Add(10 * time.Second)
 	for i, want := range []suspect.State{suspect.Free, suspect.Free, suspect.Suspected, suspect.Suspected, suspect.Quarantined} {
-		b.Merge(now, endOf(1, i, time.Duration(i)*time.Second))
-		b.Merge(now, endOf(1, i, time.Duration(i)*time.Second))
-		assert.Equal(t, b.Assess(now, 1).State, want, "%d servers ended", i+1)
+		b.Merge(now, crashOf(1, i, time.Duration(i)*time.Second))
+		b.Merge(now, crashOf(1, i, time.Duration(i)*time.Second))
+		assert.Equal(t, b.Assess(now, 1).State, want, "%d servers crashed", i+1)
 	}
 	assert.Equal(t, b.Assess(now, 2).State, suspect.Free)
 }
 
-// A quarantined request may be tried once after each quarantine, and its ends expire.
-func TestQuarantineAndEndsExpire(t *testing.T) {
+// A quarantined request may be tried once after each quarantine, and its crashes expire.
+func TestQuarantineAndCrashesExpire(t *testing.T) {
 	b := suspect.NewCrashSet()
-	b.Merge(start.Add(5*time.Second), endsUnder(1, 5)...)
+	b.Merge(start.Add(5*time.Second), crashesUnder(1, 5)...)
 	v := b.Assess(start.Add(5*time.Second), 1)
 	assert.Equal(t, v.State, suspect.Quarantined)
 	assert.Equal(t, v.Until, start.Add(4*time.Second+10*time.Minute))
@@ -59,39 +59,39 @@
 	assert.Equal(t, b.Sum(), uint64(0))
 }
 
-func TestSingleEndOfRequestExpiresSooner(t *testing.T) {
+func TestSingleCrashOfRequestExpiresSooner(t *testing.T) {
 	b := suspect.NewCrashSet()
-	b.Merge(start, endOf(1, 1, 0), endOf(2, 2, 0), endOf(2, 3, 0))
+	b.Merge(start, crashOf(1, 1, 0), crashOf(2, 2, 0), crashOf(2, 3, 0))
 	b.RemoveExpired(start.Add(10 * time.Minute))
 	assert.Equal(t, b.Len(), 2)
 }
 
-func TestClearResetsEndsOfRequest(t *testing.T) {
+func TestClearResetsCrashesOfRequest(t *testing.T) {
 	b := suspect.NewCrashSet()
 	now := start.Add(10 * time.Second)
-	ends := endsUnder(1, 5)
-	b.Merge(now, ends...)
+	crashes := crashesUnder(1, 5)
+	b.Merge(now, crashes...)
 	cleared := b.Clear(1)
 	assert.Equal(t, len(cleared), 5)
 	assert.Equal(t, b.Assess(now, 1).State, suspect.Free)
 	assert.Equal(t, len(b.Clear(1)), 0)
-	// Hosts that do not know of the answer yet report the ends again.
-	b.Merge(now, ends...)
+	// Hosts that do not know of the answer yet report the crashes again.
+	b.Merge(now, crashes...)
 	assert.Equal(t, b.Assess(now, 1).State, suspect.Free)
-	// Later ends count from zero again.
-	b.Merge(now, endOf(1, 10, 0), endOf(1, 11, 0))
+	// Later crashes count from zero again.
+	b.Merge(now, crashOf(1, 10, 0), crashOf(1, 11, 0))
 	assert.Equal(t, b.Assess(now, 1).State, suspect.Free)
-	b.Merge(now, endOf(1, 12, 0))
+	b.Merge(now, crashOf(1, 12, 0))
 	assert.Equal(t, b.Assess(now, 1).State, suspect.Suspected)
 }
 
-// A request that was never answered, and was on ten servers that another request ended, must
-// not be blamed for these ends.
-func TestEndIsAttributedToRequestWithMostEnds(t *testing.T) {
+// A request that was never answered, and was on ten servers that another request crashed, must
+// not be blamed for these crashes.
+func TestCrashIsAttributedToRequestWithMostCrashes(t *testing.T) {
 	b := suspect.NewCrashSet()
 	now := start.Add(20 * time.Second)
-	b.Merge(now, endsUnder(1, 12)...)
-	b.Merge(now, endsUnder(2, 10)...)
+	b.Merge(now, crashesUnder(1, 12)...)
+	b.Merge(now, crashesUnder(2, 10)...)
 	assert.Equal(t, b.Assess(now, 1).State, suspect.Quarantined)
 	v := b.Assess(now, 2)
 	assert.Equal(t, v.State, suspect.Free)
@@ -102,16 +102,16 @@
 	assert.Equal(t, b.Assess(now, 2).State, suspect.Quarantined)
 }
 
-// Two harmful requests end five servers each, one of them with no other request on it. A
-// third request is on the other four of each: its eight ends are attributed to the two.
+// Two harmful requests crash five servers each, one of them with no other request on it. A
+// third request is on the other four of each: its eight crashes are attributed to the two.
 func TestRequestSharingServersWithTwoHarmfulOnesIsFree(t *testing.T) {
 	b := suspect.NewCrashSet()
 	now := start.Add(20 * time.Second)
 	for server := range 10 {
 		harmful := suspect.Digest(1 + server/5)
-		b.Merge(now, endOf(harmful, server, time.Duration(server)*time.Second))
+		b.Merge(now, crashOf(harmful, server, time.Duration(server)*time.Second))
 		if server%5 > 0 {
-			b.Merge(now, endOf(3, server, time.Duration(server)*time.Second))
+			b.Merge(now, crashOf(3, server, time.Duration(server)*time.Second))
 		}
 	}
 	assert.Equal(t, b.Assess(now, 1).State, suspect.Quarantined)
@@ -127,8 +127,8 @@
 func TestRequestWhoseAnswerHadBegunIsNotBlamed(t *testing.T) {
 	b := suspect.NewCrashSet()
 	now := start.Add(20 * time.Second)
-	b.Merge(now, endsUnder(1, 3)...)
-	for _, e := range endsUnder(2, 3) {
+	b.Merge(now, crashesUnder(1, 3)...)
+	for _, e := range crashesUnder(2, 3) {
 		e.Answered = true
 		b.Merge(now, e)
 	}
@@ -136,14 +136,14 @@
 	assert.Equal(t, b.Assess(now, 2).State, suspect.Free)
 }
 
-// Hosts receive reports of ends in any order and several times.
+// Hosts receive reports of crashes in any order and several times.
 func TestMergeIsIndependentOfOrder(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	now := start.Add(time.Minute)
 	for range 200 {
 		var reported []suspect.Crash
 		for range 30 {
-			e := endOf(suspect.Digest(random.IntN(5)), random.IntN(8), time.Duration(random.IntN(60))*time.Second)
+			e := crashOf(suspect.Digest(random.IntN(5)), random.IntN(8), time.Duration(random.IntN(60))*time.Second)
 			e.Answered, e.Cleared = random.IntN(2) == 0, random.IntN(8) == 0
 			reported = append(reported, e)
 		}
@@ -162,23 +162,23 @@
 	}
 }
 
-func TestBookEvictsEndsBeyondLimit(t *testing.T) {
+func TestCrashSetEvictsCrashesBeyondLimit(t *testing.T) {
 	b := suspect.NewCrashSet()
 	now := start.Add(time.Second)
-	b.Merge(now, endsUnder(1, 5)...)
+	b.Merge(now, crashesUnder(1, 5)...)
 	for i := range 2 * suspect.MaxCrashes {
-		b.Merge(now, endOf(suspect.Digest(10+i), 100+i%7, 0))
+		b.Merge(now, crashOf(suspect.Digest(10+i), 100+i%7, 0))
 	}
-	assert.Assert(t, b.Len() <= suspect.MaxCrashes && b.Len() > suspect.MaxCrashes/2, "%d ends", b.Len())
+	assert.Assert(t, b.Len() <= suspect.MaxCrashes && b.Len() > suspect.MaxCrashes/2, "%d crashes", b.Len())
 	assert.Equal(t, len(b.Crashes()), b.Len())
-	assert.Equal(t, b.Assess(now, 1).State, suspect.Quarantined, "the request with the most ends was evicted")
+	assert.Equal(t, b.Assess(now, 1).State, suspect.Quarantined, "the request with the most crashes was evicted")
 }
 
-func TestEntriesListsRequestsWithSeveralEnds(t *testing.T) {
+func TestEntriesListsRequestsWithSeveralCrashes(t *testing.T) {
 	b := suspect.NewCrashSet()
 	now := start.Add(10 * time.Second)
-	b.Merge(now, endsUnder(1, 5)...)
-	b.Merge(now, endOf(2, 50, 0), endOf(2, 51, 0), endOf(3, 52, 0))
+	b.Merge(now, crashesUnder(1, 5)...)
+	b.Merge(now, crashOf(2, 50, 0), crashOf(2, 51, 0), crashOf(3, 52, 0))
 	entries := b.Entries(now, 10)
 	assert.Equal(t, len(entries), 2)
 	assert.Equal(t, entries[0].Digest, suspect.Digest(1))
@@ -187,17 +187,17 @@
 	assert.Equal(t, len(b.Entries(now, 1)), 1)
 }
 
-func TestTriesAllowsOneTryPerRequest(t *testing.T) {
-	tries := suspect.NewTrials()
-	assert.Assert(t, tries.Begin(start, 1))
-	assert.Assert(t, !tries.Begin(start, 1))
-	assert.Assert(t, tries.Begin(start, 2))
-	tries.End(1)
-	assert.Assert(t, tries.Begin(start, 1))
-	assert.Assert(t, tries.Begin(start.Add(time.Minute), 1), "a try whose outcome was never told goes on")
+func TestTrialsAllowsOneTrialPerRequest(t *testing.T) {
+	trials := suspect.NewTrials()
+	assert.Assert(t, trials.Begin(start, 1))
+	assert.Assert(t, !trials.Begin(start, 1))
+	assert.Assert(t, trials.Begin(start, 2))
+	trials.End(1)
+	assert.Assert(t, trials.Begin(start, 1))
+	assert.Assert(t, trials.Begin(start.Add(time.Minute), 1), "a trial whose outcome is never reported blocks further trials forever")
 }
 
-// FuzzBook checks the invariants of books with arbitrary ends in any order.
+// FuzzBook checks the invariants of sets with arbitrary crashes in any order.
 func FuzzBook(f *testing.F) {
 	f.Add([]byte{1, 2, 3, 0, 1, 3, 3, 1, 1, 4, 3, 2})
 	f.Fuzz(func(t *testing.T, data []byte) {
@@ -205,7 +205,7 @@
 		now := start.Add(2 * time.Hour)
 		var reported []suspect.Crash
 		for ; len(data) >= 4; data = data[4:] {
-			e := endOf(suspect.Digest(data[0]%8), int(data[1]%16), time.Duration(data[2])*time.Minute)
+			e := crashOf(suspect.Digest(data[0]%8), int(data[1]%16), time.Duration(data[2])*time.Minute)
 			e.Answered, e.Cleared = data[3]&1 != 0, data[3]&2 != 0
 			reported = append(reported, e)
 			first.Merge(now, e)
@@ -213,7 +213,7 @@
 		second.Merge(now, reported...)
 		second.Merge(now, first.Crashes()...)
 		if first.Sum() != second.Sum() || first.Len() != second.Len() || first.Len() != len(first.Crashes()) {
-			t.Fatalf("%d and %d ends", first.Len(), second.Len())
+			t.Fatalf("%d and %d crashes", first.Len(), second.Len())
 		}
 		for d := range suspect.Digest(8) {
 			v := first.Assess(now, d)
@@ -223,7 +223,7 @@
 		}
 		first.RemoveExpired(now.Add(7 * time.Hour))
 		if first.Len() != 0 || first.Sum() != 0 {
-			t.Fatalf("%d ends are never forgotten", first.Len())
+			t.Fatalf("%d crashes never expire", first.Len())
 		}
 	})
 }
@@ -234,27 +234,27 @@
 	crashedRequests = 10
 )
 
-func crashEnds() []suspect.Crash {
-	var ends []suspect.Crash
+func allCrashes() []suspect.Crash {
+	var crashes []suspect.Crash
 	for i := range crashedServers * crashedRequests {
-		ends = append(ends, endOf(suspect.Digest(i), i/crashedRequests, 0))
+		crashes = append(crashes, crashOf(suspect.Digest(i), i/crashedRequests, 0))
 	}
-	return ends
+	return crashes
 }
 
 func BenchmarkMergeCrashOfAllServers(b *testing.B) {
-	ends := crashEnds()
+	crashes := allCrashes()
 	for b.Loop() {
-		suspect.NewCrashSet().Merge(start, ends...)
+		suspect.NewCrashSet().Merge(start, crashes...)
 	}
 }
 
-func BenchmarkOf(b *testing.B) {
-	book := suspect.NewCrashSet()
-	book.Merge(start, crashEnds()...)
-	book.Merge(start, endsUnder(5, 6)...)
+func BenchmarkAssess(b *testing.B) {
+	set := suspect.NewCrashSet()
+	set.Merge(start, allCrashes()...)
+	set.Merge(start, crashesUnder(5, 6)...)
 	for b.Loop() {
-		book.Assess(start, 5)
+		set.Assess(start, 5)
 	}
 }
 
--- a/internal/suspect/tries.go
+++ b/internal/suspect/trials.go
@@ -5,25 +5,25 @@
 
 import "time"
 
-// tryTimeout is how long a try without a reported outcome blocks further tries of the same
-// request. Most callers wait that long for a first event, and the end of a server is
+// trialTimeout is how long a trial without a reported outcome blocks further trials of the same
+// request. Most callers wait that long for a first event, and the crash of a server is
 // reported within that time.
-const tryTimeout = 3 * time.Second
+const trialTimeout = 3 * time.Second
 
-// Trials tracks the tries of suspected requests and allows one at a time for each request.
-// It is not safe for concurrent use.
+// Trials tracks the trials of suspected requests in progress and allows one at a time for each
+// request. It is not safe for concurrent use.
 type Trials struct {
-	// expiresAt holds when each try times out.
+	// expiresAt holds when each trial times out.
 	expiresAt map[Digest]time.Time
 }
 
-// NewTrials returns a Tries without any try.
+// NewTrials returns a Trials without any trial.
 func NewTrials() *Trials {
 	return &Trials{expiresAt: make(map[Digest]time.Time)}
 }
 
-// Begin begins a try and reports true, unless a try of the request is in progress or
-// MaxEnds tries are.
+// Begin starts a trial and reports true, unless a trial of the request is in progress or MaxCrashes
+// trials are.
 func (t *Trials) Begin(now time.Time, digest Digest) bool {
 	for d, expiresAt := range t.expiresAt {
 		if !now.Before(expiresAt) {
@@ -33,11 +33,11 @@
 	if _, ok := t.expiresAt[digest]; ok || len(t.expiresAt) >= MaxCrashes {
 		return false
 	}
-	t.expiresAt[digest] = now.Add(tryTimeout)
+	t.expiresAt[digest] = now.Add(trialTimeout)
 	return true
 }
 
-// End ends the try of a request, if any.
+// End ends the trial of a request, if any.
 func (t *Trials) End(digest Digest) {
 	delete(t.expiresAt, digest)
 }
--- a/internal/trial/group_test.go
+++ b/internal/trial/group_test.go
@@ -46,10 +46,10 @@
 	for _, p := range peers {
 		g := trial.New(trial.Options{
 			Owners: owner.NewFinder(p.Address, func() *owner.Hosts { return live }),
-			Spread: func(ends []suspect.Crash) {
+			Spread: func(crashes []suspect.Crash) {
 				for address, other := range h.groups {
 					if address != p.Address {
-						other.Merge(ends)
+						other.Merge(crashes)
 					}
 				}
 			},
@@ -69,33 +69,33 @@
 	return h, list
 }
 
-func endOf(digest suspect.Digest, server int) []suspect.Crash {
+func crashOf(digest suspect.Digest, server int) []suspect.Crash {
 	return []suspect.Crash{{Request: digest, Server: suspect.ServerOf(fmt.Sprint("i-", server)), CrashedAt: time.Now()}}
 }
 
-func TestTriesOfRequestRunOneAtATimeAcrossHosts(t *testing.T) {
+func TestTrialsOfRequestRunOneAtATimeAcrossHosts(t *testing.T) {
 	_, list := newHosts(4)
 	for i := range 3 {
-		list[i].RecordCrashes(endOf(1, i))
+		list[i].RecordCrashes(crashOf(1, i))
 	}
-	var endTry func()
+	var endTrial func()
 	granted := 0
 	for _, g := range list {
 		assert.Equal(t, g.Assess(1).State, suspect.Suspected)
 		if end, ok := g.StartTrial(t.Context(), 1); ok {
 			granted++
-			endTry = end
+			endTrial = end
 		}
 	}
 	assert.Equal(t, granted, 1)
-	endTry()
+	endTrial()
 	_, ok := list[3].StartTrial(t.Context(), 1)
 	assert.Assert(t, ok)
-	// The end of a server ends the try.
-	list[0].RecordCrashes(endOf(1, 3))
+	// The crash of a server ends the trial.
+	list[0].RecordCrashes(crashOf(1, 3))
 	_, ok = list[2].StartTrial(t.Context(), 1)
 	assert.Assert(t, ok)
-	list[0].RecordCrashes(endOf(1, 4))
+	list[0].RecordCrashes(crashOf(1, 4))
 	for _, g := range list {
 		assert.Equal(t, g.Assess(1).State, suspect.Quarantined)
 		_, ok = g.StartTrial(t.Context(), 1)
@@ -103,10 +103,10 @@
 	}
 }
 
-func TestTryIsGrantedLocallyWhenOwnersAreDown(t *testing.T) {
+func TestTrialIsGrantedLocallyWhenOwnersAreDown(t *testing.T) {
 	h, list := newHosts(4)
 	for i := range 3 {
-		list[i].RecordCrashes(endOf(1, i))
+		list[i].RecordCrashes(crashOf(1, i))
 	}
 	for address := range h.groups {
 		h.down[address] = true
@@ -121,7 +121,7 @@
 func TestStateOfRequestIsLoggedAndReported(t *testing.T) {
 	h, list := newHosts(2)
 	for i := range 5 {
-		list[0].RecordCrashes(endOf(1, i))
+		list[0].RecordCrashes(crashOf(1, i))
 	}
 	for _, state := range []string{"state=suspected", "state=kept", "digest=0000000000000001", "counted=5", "for_ms=", "before=suspected"} {
 		assert.Check(t, strings.Contains(h.log.String(), state), "no %s in %s", state, h.log.String())
