--- a/internal/choose/choose.go
+++ b/internal/choose/choose.go
@@ -132,7 +132,7 @@
 }
 
 // expectedSeconds returns the expected response time in seconds: the work, scaled up by the
-// calls ahead of it, plus the costs of another zone and of a cold prefix.
+// calls ahead of it, plus the costs of another zone and of a prefix that is not cached.
 func (c *Candidate) expectedSeconds(costs Costs) float64 {
 	reportWeight := math.Exp2(-float64(c.Age) / float64(reportHalfLife))
 	ahead := float64(c.InFlight) + reportWeight*float64(c.Reported)
--- a/internal/dispatch/pool.go
+++ b/internal/dispatch/pool.go
@@ -174,7 +174,7 @@
 }
 
 // SetPrefixHolder records whether a server holds a prompt's prefix.
-func (p *Pool) SetPrefixHolder(prefix uint64, address netip.AddrPort, warm bool) {
+func (p *Pool) SetPrefixHolder(prefix uint64, address netip.AddrPort, holdsPrefix bool) {
 	if prefix == 0 {
 		return
 	}
@@ -183,11 +183,11 @@
 	holders, _ := p.prefixHolders.Get(prefix)
 	i := slices.Index(holders, address)
 	switch {
-	case warm && i < 0:
+	case holdsPrefix && i < 0:
 		// The old slice may be in use elsewhere, so append to a copy.
 		holders = append(slices.Clone(holders), address)
 		p.prefixHolders.Add(prefix, holders[max(len(holders)-maxPrefixHolders, 0):])
-	case !warm && i >= 0:
+	case !holdsPrefix && i >= 0:
 		p.prefixHolders.Add(prefix, slices.Delete(slices.Clone(holders), i, i+1))
 	}
 }
--- a/internal/enginepool/group.go
+++ b/internal/enginepool/group.go
@@ -201,9 +201,9 @@
 	return g.placeLocally(shard, p, reports)
 }
 
-// scheduler returns this host's scheduler of a shard, and creates it if needed. The mutex must
+// schedulerFor returns this host's scheduler of a shard, and creates it if needed. The mutex must
 // be held.
-func (g *Group) scheduler(s shard) *placing.Scheduler {
+func (g *Group) schedulerFor(s shard) *placing.Scheduler {
 	scheduler := g.schedulers[s]
 	if scheduler == nil {
 		scheduler = placing.NewScheduler()
@@ -218,7 +218,7 @@
 	now := time.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	scheduler := g.scheduler(s)
+	scheduler := g.schedulerFor(s)
 	for _, r := range reports {
 		scheduler.Report(now, r)
 	}
@@ -230,7 +230,7 @@
 	now := time.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	scheduler := g.scheduler(s)
+	scheduler := g.schedulerFor(s)
 	for _, r := range reports {
 		scheduler.Report(now, r)
 	}
--- a/internal/peer/advertise.go
+++ b/internal/peer/advertise.go
@@ -45,8 +45,8 @@
 }
 
 // requestEntries requests entries that this node lacks from a peer. It fetches small ones at once
-// and starts pulls of large ones, which it returns. Fetched entries are advertised to other peers if
-// readvertise is set.
+// and starts pulls of large ones, which it returns. Fetched entries are advertised to other peers
+// if readvertise is set.
 func (g *Gossip) requestEntries(ctx context.Context, peer netip.AddrPort, space peerpb.Space, lacking map[string]published.Version, readvertise bool) ([]*pull, error) {
 	store, err := g.options.Spaces.storeFor(space)
 	if err != nil {
--- a/internal/peerhttp/attempt.go
+++ b/internal/peerhttp/attempt.go
@@ -22,9 +22,10 @@
 	err      error
 	// reused reports that the connection has carried an earlier call.
 	reused atomic.Bool
-	// lastSign is the time of the last sign of life, in nanoseconds since startedAt.
-	lastSign  atomic.Int64
-	startedAt time.Time
+	// lastProgress is when the call got its connection or the last informational response, in
+	// nanoseconds since startedAt.
+	lastProgress atomic.Int64
+	startedAt    time.Time
 	// won reports that the attempt was answered before a competing one; set by race.
 	won bool
 }
@@ -35,8 +36,8 @@
 	ctx, cancel := context.WithCancel(r.Context())
 	a.cancel = cancel
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
-		GotConn:        func(info httptrace.GotConnInfo) { a.reused.Store(info.Reused); a.recordSign() },
-		Got1xxResponse: func(int, textproto.MIMEHeader) error { a.recordSign(); return nil },
+		GotConn:        func(info httptrace.GotConnInfo) { a.reused.Store(info.Reused); a.recordProgress() },
+		Got1xxResponse: func(int, textproto.MIMEHeader) error { a.recordProgress(); return nil },
 	})
 	out := r.Clone(ctx)
 	if r.GetBody != nil {
@@ -53,15 +54,15 @@
 	return a
 }
 
-func (a *attempt) recordSign() {
-	a.lastSign.Store(int64(time.Since(a.startedAt)))
+func (a *attempt) recordProgress() {
+	a.lastProgress.Store(int64(time.Since(a.startedAt)))
 }
 
-// waitWhileAlive waits for the response. It reports false if there was no sign of life for
-// silenceTimeout.
+// waitWhileAlive waits for the response. It reports false if there was no informational response
+// for silenceTimeout.
 func (a *attempt) waitWhileAlive() bool {
 	for {
-		remaining := silenceTimeout - (time.Since(a.startedAt) - time.Duration(a.lastSign.Load()))
+		remaining := silenceTimeout - (time.Since(a.startedAt) - time.Duration(a.lastProgress.Load()))
 		if remaining <= 0 {
 			return false
 		}
--- a/internal/peerhttp/transport.go
+++ b/internal/peerhttp/transport.go
@@ -28,7 +28,7 @@
 	// hedgePause is the minimum time between hedges to one host, so that a host that is merely
 	// slow does not get a new connection for every call.
 	hedgePause = time.Second
-	// silenceTimeout is how long a patient call may be without a sign of life: three
+	// silenceTimeout is how long a patient call may be without an informational response: three
 	// intervals.
 	silenceTimeout = 3 * keepAliveInterval
 	// maxPatientAttempts bounds how often one patient call is made.
--- a/internal/publisher/watcher_test.go
+++ b/internal/publisher/watcher_test.go
@@ -129,22 +129,22 @@
 
 func TestOutageAndRecoveryAreReported(t *testing.T) {
 	src := &source{revision: 7}
-	lost, regained := 0, 0
+	unavailable, available := 0, 0
 	options := func(o *publisher.WatcherOptions) {
-		o.OnUnavailable, o.OnAvailable = func() { lost++ }, func() { regained++ }
+		o.OnUnavailable, o.OnAvailable = func() { unavailable++ }, func() { available++ }
 		o.MaxBackoff = 500 * time.Millisecond
 	}
 	runWatcher(t, src, options, func(*published.Store[string]) {
 		time.Sleep(1500 * time.Millisecond)
 		src.set(7, errors.New("down"))
 		time.Sleep(10 * time.Second)
-		assert.Equal(t, regained, 0)
+		assert.Equal(t, available, 0)
 		src.set(8, nil)
 		time.Sleep(2 * time.Second)
 	})
 	// Each failed call is reported; receivers use only the first report.
-	assert.Assert(t, lost > 0)
-	assert.Equal(t, regained, 1)
+	assert.Assert(t, unavailable > 0)
+	assert.Equal(t, available, 1)
 }
 
 func TestNodeThatNeedNotWatchReadsOnlyAtStart(t *testing.T) {
--- a/internal/stageplan/defer.go
+++ b/internal/stageplan/defer.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// The load pattern: for some seconds more work arrives than a pool can do, both urgent and
-// deferrable, in tasks of one to ten pieces. If the earliest due task always goes first, all
+// This file handles bursts, in which for some seconds more work arrives than a pool can do, both
+// urgent and deferrable, in tasks of one to ten pieces. If the earliest due task always goes first, all
 // of it ends just too late. If some tasks are deferred, the rest are in time.
 
 // deferCostly marks tasks to run last so that as many others as possible are in time. Wherever
@@ -24,7 +24,7 @@
 	ahead := 0
 	found := false
 	for _, t := range s.waiting {
-		if t.deferred || t.holdsRoom() {
+		if t.deferred || t.holdsMemory() {
 			continue
 		}
 		heap.Push(&candidates, t)
--- a/internal/stageplan/order.go
+++ b/internal/stageplan/order.go
@@ -118,7 +118,7 @@
 // memory at other servers is never late: while it waits, the pool that holds the results would
 // stall.
 func (s *Scheduler) late(now time.Time, t *Task) bool {
-	if t.holdsRoom() {
+	if t.holdsMemory() {
 		return false
 	}
 	return now.Add(s.CallTime() + lateMargin).After(t.Latest)
--- a/internal/stageplan/work.go
+++ b/internal/stageplan/work.go
@@ -75,8 +75,8 @@
 	HoldsOtherResults bool
 }
 
-// holdsRoom reports whether results occupy memory at other servers while the work waits.
-func (w *Work) holdsRoom() bool {
+// holdsMemory reports whether results occupy memory at other servers while the work waits.
+func (w *Work) holdsMemory() bool {
 	return w.HoldsOtherResults || w.InputBytes >= largeDataBytes
 }
 
--- a/internal/stageplan/zone.go
+++ b/internal/stageplan/zone.go
@@ -5,8 +5,8 @@
 
 import "time"
 
-// The load pattern: work with large results is best done in its zone, but the one or two
-// servers of that zone have more of it than they can finish in time, while servers of other
+// This file handles overloaded zones: work with large results is best done in its zone, but the one
+// or two servers of that zone have more of it than they can finish in time, while servers of other
 // zones could.
 
 // zoneQueue is the work that waits for the servers of one zone.
