--- a/internal/suspect/crash_set.go
+++ b/internal/suspect/crash_set.go
@@ -10,9 +10,8 @@
 )
 
 const (
-	// suspectThreshold is how many servers must have crashed under a request for it to become
-	// a suspect. One or two crash under many requests when there is another
-	// reason.
+	// suspectThreshold is how many servers must have crashed under a request for it to become a
+	// suspect. When servers crash for another reason, one or two crash under many requests.
 	suspectThreshold = 3
 	// maxTrials is how often a suspect is tried before it is quarantined. An innocent request
 	// on three servers that crashed for another reason is answered by the first healthy
