--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -75,9 +75,9 @@
 		Listen: func(a netip.AddrPort) (net.Listener, error) {
 			return listener.Listen(context.Background(), "tcp", a.String())
 		},
-		Metrics: metricsHandler,
-		Seed:    rand.Uint64(),
-		SinceBoot:    boot.Clock,
+		Metrics:   metricsHandler,
+		Seed:      rand.Uint64(),
+		SinceBoot: boot.Clock,
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/internal/experiment/case.go
+++ b/internal/experiment/case.go
@@ -156,8 +156,8 @@
 	}
 }
 
-// MaxAttainable returns an upper bound on the number of requests that can be answered in time. No stage
-// can serve more than its capacity between the first request and the last deadline. The
+// MaxAttainable returns an upper bound on the number of requests that can be answered in time. No
+// stage can serve more than its capacity between the first request and the last deadline. The
 // capacity during the disturbance is counted separately.
 func (c Case) MaxAttainable(offered map[string][]int) float64 {
 	if c.disturbedUntil == 0 {
--- a/internal/experiment/site.go
+++ b/internal/experiment/site.go
@@ -40,11 +40,12 @@
 	zones   []string
 }
 
-// Sizes of the sites of both customers.
+// farbwerkSize returns the size of the site of the customer Farbwerk.
 func farbwerkSize() siteSize {
 	return siteSize{name: "farbwerk", runners: map[string]int{"encode": 3, "retrieve": 3, "rerank": 3, "generate": 10}, zones: sites.Farbwerk().Zones}
 }
 
+// arhivaSize returns the size of the site of the customer Arhiva Climei.
 func arhivaSize() siteSize {
 	return siteSize{name: "arhiva-climei", runners: map[string]int{"encode": 6, "retrieve": 6, "rerank": 6, "generate": 20}, zones: sites.ArhivaClimei().Zones}
 }
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -14,7 +14,7 @@
 // parts.
 const noticesStream = 1 << 32
 
-// newNotices returns the book of what backend servers announced about themselves.
+// newNotices returns the registry of what backend servers announced about themselves.
 func (n *Node) newNotices() *notice.Registry {
 	return notice.NewRegistry(notice.Options{
 		SinceBoot: n.options.SinceBoot,
--- a/internal/gateway/ready.go
+++ b/internal/gateway/ready.go
@@ -168,10 +168,10 @@
 	n.gossip.Announce(ctx, announceFanout)
 }
 
-// Entries returns the addresses that callers of a region should use for a host name: all, or,
-// if the routes of that name have homes, those of hosts in these or in the callers' region. If
-// all hosts are leaving, it returns those that began to leave last, which serve longest. A
-// host that is leaving never returns its own address.
+// Entries returns the addresses that callers of a region should use for a host name: all, or, if
+// the routes of that name restrict their regions, those of hosts in the allowed regions or in the
+// callers' region. If all hosts are leaving, it returns those that began to leave last, which
+// serve longest. A host that is leaving never returns its own address.
 func (n *Node) Entries(host, region string) []netip.AddrPort {
 	all := n.hostCache.current().entries
 	if n.Ready() {
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -74,7 +74,7 @@
 type Result struct {
 	// Offered is the number of requests sent that have ended.
 	Offered int `json:"offered"`
-	// Attained counts complete answers in time, Late complete answers after the deadline.
+	// Attained counts complete answers in time, and Late complete answers after the deadline.
 	Attained int `json:"attained"`
 	Late     int `json:"late"`
 	// Wrong counts answers whose text differs from the expected one.
--- a/internal/memnet/link.go
+++ b/internal/memnet/link.go
@@ -121,9 +121,9 @@
 const (
 	packetSize         = 16 << 10
 	maxPacketsInFlight = 256
-	// limitedPacketSize and limitedMaxPacketsInFlight apply to rate-limited links. One connection has
-	// limitedMaxPacketsInFlight packets at each end: the 64 KiB of both ends fill 200 Mbit/s with a
-	// round trip of 2 ms.
+	// limitedPacketSize and limitedMaxPacketsInFlight apply to rate-limited links. One connection
+	// has limitedMaxPacketsInFlight packets at each end: the 64 KiB of both ends fill 200 Mbit/s
+	// with a round trip of 2 ms.
 	limitedPacketSize         = 4 << 10
 	limitedMaxPacketsInFlight = 8
 )
--- a/internal/node/placer.go
+++ b/internal/node/placer.go
@@ -24,9 +24,9 @@
 const (
 	placeInterval = time.Second
 	orderTimeout  = 2 * time.Second
-	// minUndisturbed is how long the view must have been undisturbed before this node sends
-	// orders to an engine that does not check their fence.
-	minUndisturbed = 10 * time.Second
+	// minUnchanged is how long the view must have been unchanged before this node sends orders
+	// to an engine that does not check their fence.
+	minUnchanged = 10 * time.Second
 	// maxStateAge is the maximum age of an engine's report that orders are based on.
 	maxStateAge = 2 * pollIntervalEngine
 	orderStage  = "order"
@@ -102,12 +102,12 @@
 
 // sendOrder sends one order after it has read the engine's state again. If this node has been
 // paused or partitioned in the meantime, the order must have no effect: an engine that checks
-// orders refuses it by its fence, and for any other engine the view must have been
-// undisturbed.
+// orders refuses it by its fence, and for any other engine the view must have been unchanged
+// for some time.
 func (p *placer) sendOrder(ctx context.Context, step place.Step, through uint64) {
 	n := p.node
 	h, ok := n.pools.host(step.Engine)
-	if !ok || !h.ChecksOrders && n.view.UnchangedFor(time.Now()) < minUndisturbed {
+	if !ok || !h.ChecksOrders && n.view.UnchangedFor(time.Now()) < minUnchanged {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
--- a/internal/relay/catalog.go
+++ b/internal/relay/catalog.go
@@ -102,20 +102,25 @@
 type Engine struct {
 	Slots  int
 	Tokens int
-	// TokenBytes is the memory that a token takes, and Link the number of bytes per second
-	// that an engine sends; 0 means unknown.
+	// TokenBytes is the number of bytes of memory that a token takes, and Link the number of bytes
+	// per second that an engine sends; 0 means unknown.
 	TokenBytes int64
 	Link       float64
 	// EventTokens is the number of tokens in an event of a stream; 0 means unknown.
 	EventTokens int
 }
 
-// Batch describes a stage server.
+// Batch describes a stage server, which runs the pieces of stage work in batches.
 type Batch struct {
-	Slots          int
-	Size           int
-	CallTime       time.Duration
-	PieceTime      time.Duration
+	// Slots is the number of calls that a server runs at once, and Size the maximum number of
+	// pieces in one call.
+	Slots int
+	Size  int
+	// CallTime is the fixed time of a call, and PieceTime the time that each piece adds.
+	CallTime  time.Duration
+	PieceTime time.Duration
+	// ResultCapacity is how many bytes of results a server can hold, and ResultTTL how long it
+	// keeps a result that is not released.
 	ResultCapacity int64
 	ResultTTL      time.Duration
 }
