--- a/internal/relay/regions_test.go
+++ b/internal/relay/regions_test.go
@@ -18,7 +18,7 @@
 		bound  bool
 		want   relay.Regions
 	}{
-		{"no allowed regions", []relay.Regions{nil, nil}, false, nil},
+		{"no homes", []relay.Regions{nil, nil}, false, nil},
 		{"one of two routes", []relay.Regions{nil, {"a"}}, true, relay.Regions{"a"}},
 		{"in common", []relay.Regions{{"a", "b"}, {"b", "c"}}, true, relay.Regions{"b"}},
 		{"nothing in common", []relay.Regions{{"a"}, {"b"}}, true, nil},
