--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -32,7 +32,7 @@
 type arguments struct {
 	Check   checkCommand   `cmd:"" help:"Check settings files and published values without starting anything."`
 	Request requestCommand `cmd:"" help:"Send one request and print its answer as it comes."`
-	Entries entriesCommand `cmd:"" help:"Ask a node which parseAddresses callers should use."`
+	Entries entriesCommand `cmd:"" help:"Ask a node which addresses callers should use."`
 	Dump    dumpCommand    `cmd:"" help:"Print the state of a node, read from its peer address."`
 	Load    loadCommand    `cmd:"" help:"Offer requests at a rate; print attainment, latency and cost by stage."`
 	Standin standinCommand `cmd:"" help:"Serve stand-ins of a site's platform and backend servers on loopback."`
