--- a/internal/suspect/crash.go
+++ b/internal/suspect/crash.go
@@ -33,25 +33,25 @@
 
 // merge merges another host's report of the same crash, and reports whether anything but the
 // time has changed.
-func (e *Crash) merge(other Crash) bool {
-	old := *e
-	e.Answered = e.Answered && other.Answered
-	e.Cleared = e.Cleared || other.Cleared
-	if other.CrashedAt.Before(e.CrashedAt) {
-		e.CrashedAt = other.CrashedAt
+func (c *Crash) merge(other Crash) bool {
+	old := *c
+	c.Answered = c.Answered && other.Answered
+	c.Cleared = c.Cleared || other.Cleared
+	if other.CrashedAt.Before(c.CrashedAt) {
+		c.CrashedAt = other.CrashedAt
 	}
-	return e.Answered != old.Answered || e.Cleared != old.Cleared
+	return c.Answered != old.Answered || c.Cleared != old.Cleared
 }
 
 // sum returns the checksum of the crash, which does not cover its time.
-func (e *Crash) sum() uint64 {
+func (c *Crash) sum() uint64 {
 	var b [18]byte
-	binary.LittleEndian.PutUint64(b[:], uint64(e.Request))
-	binary.LittleEndian.PutUint64(b[8:], uint64(e.Server))
-	if e.Answered {
+	binary.LittleEndian.PutUint64(b[:], uint64(c.Request))
+	binary.LittleEndian.PutUint64(b[8:], uint64(c.Server))
+	if c.Answered {
 		b[16] = 1
 	}
-	if e.Cleared {
+	if c.Cleared {
 		b[17] = 1
 	}
 	return xxhash.Sum64(b[:])
--- a/internal/suspect/crash_set.go
+++ b/internal/suspect/crash_set.go
@@ -92,89 +92,90 @@
 }
 
 // Len returns the number of crashes.
-func (b *CrashSet) Len() int { return b.count }
+func (s *CrashSet) Len() int { return s.count }
 
 // Sum returns a checksum that is equal for sets with the same crashes.
-func (b *CrashSet) Sum() uint64 { return b.sum }
+func (s *CrashSet) Sum() uint64 { return s.sum }
 
 // Merge adds crashes and returns those that are new or that differ from the known crash in more
 // than the time. Expired crashes are ignored.
-func (b *CrashSet) Merge(now time.Time, crashes ...Crash) []Crash {
+func (s *CrashSet) Merge(now time.Time, crashes ...Crash) []Crash {
 	var changed []Crash
-	for _, e := range crashes {
-		if now.Sub(e.CrashedAt) >= crashTTL {
+	for _, c := range crashes {
+		if now.Sub(c.CrashedAt) >= crashTTL {
 			continue
 		}
-		old := b.requests[e.Request][e.Server]
+		old := s.requests[c.Request][c.Server]
 		if old == nil {
-			b.insert(e)
-			changed = append(changed, e)
+			s.insert(c)
+			changed = append(changed, c)
 			continue
 		}
-		b.sum ^= old.sum()
-		if old.merge(e) {
+		s.sum ^= old.sum()
+		if old.merge(c) {
 			changed = append(changed, *old)
 		}
-		b.sum ^= old.sum()
+		s.sum ^= old.sum()
 	}
-	if b.count > MaxCrashes {
-		b.evict()
+	if s.count > MaxCrashes {
+		s.evict()
 	}
-	return slices.DeleteFunc(changed, func(e Crash) bool { return b.requests[e.Request][e.Server] == nil })
+	return slices.DeleteFunc(changed, func(c Crash) bool { return s.requests[c.Request][c.Server] == nil })
 }
 
-func (b *CrashSet) insert(e Crash) {
-	if b.requests[e.Request] == nil {
-		b.requests[e.Request] = make(map[Server]*Crash)
+func (s *CrashSet) insert(c Crash) {
+	if s.requests[c.Request] == nil {
+		s.requests[c.Request] = make(map[Server]*Crash)
 	}
-	if b.servers[e.Server] == nil {
-		b.servers[e.Server] = make(map[Digest]bool)
+	if s.servers[c.Server] == nil {
+		s.servers[c.Server] = make(map[Digest]bool)
 	}
-	b.requests[e.Request][e.Server] = &e
-	b.servers[e.Server][e.Request] = true
-	b.count++
-	b.sum ^= e.sum()
+	s.requests[c.Request][c.Server] = &c
+	s.servers[c.Server][c.Request] = true
+	s.count++
+	s.sum ^= c.sum()
 }
 
-func (b *CrashSet) remove(e *Crash) {
-	delete(b.requests[e.Request], e.Server)
-	if len(b.requests[e.Request]) == 0 {
-		delete(b.requests, e.Request)
+func (s *CrashSet) remove(c *Crash) {
+	delete(s.requests[c.Request], c.Server)
+	if len(s.requests[c.Request]) == 0 {
+		delete(s.requests, c.Request)
 	}
-	delete(b.servers[e.Server], e.Request)
-	if len(b.servers[e.Server]) == 0 {
-		delete(b.servers, e.Server)
+	delete(s.servers[c.Server], c.Request)
+	if len(s.servers[c.Server]) == 0 {
+		delete(s.servers, c.Server)
 	}
-	b.count--
-	b.sum ^= e.sum()
+	s.count--
+	s.sum ^= c.sum()
 }
 
-// Clear records that a server has answered a request completely, so that the request is
-// not the cause of its crashes. It returns the crashes that were not yet cleared.
-func (b *CrashSet) Clear(digest Digest) []Crash {
+// Clear marks all crashes under a request as cleared: a server has answered the request
+// completely, so the request did not cause them. It returns the crashes that were not cleared
+// before.
+func (s *CrashSet) Clear(digest Digest) []Crash {
 	var cleared []Crash
-	for _, e := range b.requests[digest] {
-		if e.Cleared {
+	for _, c := range s.requests[digest] {
+		if c.Cleared {
 			continue
 		}
-		b.sum ^= e.sum()
-		e.Cleared = true
-		b.sum ^= e.sum()
-		cleared = append(cleared, *e)
+		s.sum ^= c.sum()
+		c.Cleared = true
+		s.sum ^= c.sum()
+		cleared = append(cleared, *c)
 	}
 	return cleared
 }
 
 // RemoveExpired removes expired crashes.
-func (b *CrashSet) RemoveExpired(now time.Time) {
-	for _, crashes := range b.requests {
+func (s *CrashSet) RemoveExpired(now time.Time) {
+	for _, crashes := range s.requests {
 		ttl := crashTTL
 		if len(crashes) == 1 {
 			ttl = singleCrashTTL
 		}
-		for _, e := range crashes {
-			if now.Sub(e.CrashedAt) >= ttl {
-				b.remove(e)
+		for _, c := range crashes {
+			if now.Sub(c.CrashedAt) >= ttl {
+				s.remove(c)
 			}
 		}
 	}
@@ -182,31 +183,31 @@
 
 // evict removes crashes until crashesAfterEviction are left. It removes those of requests with
 // the fewest crashes first, and of these the oldest.
-func (b *CrashSet) evict() {
+func (s *CrashSet) evict() {
 	type candidate struct {
 		crash          *Crash
 		requestCrashes int
 	}
-	all := make([]candidate, 0, b.count)
-	for _, crashes := range b.requests {
-		for _, e := range crashes {
-			all = append(all, candidate{crash: e, requestCrashes: len(crashes)})
+	all := make([]candidate, 0, s.count)
+	for _, crashes := range s.requests {
+		for _, c := range crashes {
+			all = append(all, candidate{crash: c, requestCrashes: len(crashes)})
 		}
 	}
 	slices.SortFunc(all, func(x, y candidate) int {
 		return cmp.Or(cmp.Compare(x.requestCrashes, y.requestCrashes), x.crash.CrashedAt.Compare(y.crash.CrashedAt))
 	})
-	for _, c := range all[:b.count-crashesAfterEviction] {
-		b.remove(c.crash)
+	for _, c := range all[:s.count-crashesAfterEviction] {
+		s.remove(c.crash)
 	}
 }
 
 // Crashes returns all crashes.
-func (b *CrashSet) Crashes() []Crash {
-	all := make([]Crash, 0, b.count)
-	for _, crashes := range b.requests {
-		for _, e := range crashes {
-			all = append(all, *e)
+func (s *CrashSet) Crashes() []Crash {
+	all := make([]Crash, 0, s.count)
+	for _, crashes := range s.requests {
+		for _, c := range crashes {
+			all = append(all, *c)
 		}
 	}
 	return all
@@ -223,34 +224,34 @@
 // compare orders evidence by strength. A request that was alone on a server ranks above all
 // that never were, so that a request that only shared servers with several harmful requests
 // never outweighs any of them.
-func (s evidence) compare(other evidence) int {
-	if s.alone != other.alone {
-		if s.alone {
+func (e evidence) compare(other evidence) int {
+	if e.alone != other.alone {
+		if e.alone {
 			return 1
 		}
 		return -1
 	}
-	return cmp.Compare(s.crashes, other.crashes)
+	return cmp.Compare(e.crashes, other.crashes)
 }
 
 // evidence returns the evidence against a request.
-func (b *CrashSet) evidence(digest Digest) evidence {
-	var s evidence
-	for _, e := range b.requests[digest] {
-		if e.Cleared {
+func (s *CrashSet) evidence(digest Digest) evidence {
+	var found evidence
+	for _, c := range s.requests[digest] {
+		if c.Cleared {
 			continue
 		}
-		s.crashes++
-		s.alone = s.alone || b.soleRequest(e)
+		found.crashes++
+		found.alone = found.alone || s.soleRequest(c)
 	}
-	return s
+	return found
 }
 
 // soleRequest reports whether the server of a crash had no other request, apart from
 // cleared ones.
-func (b *CrashSet) soleRequest(e *Crash) bool {
-	for other := range b.servers[e.Server] {
-		if other != e.Request && !b.requests[other][e.Server].Cleared {
+func (s *CrashSet) soleRequest(c *Crash) bool {
+	for other := range s.servers[c.Server] {
+		if other != c.Request && !s.requests[other][c.Server].Cleared {
 			return false
 		}
 	}
@@ -258,21 +259,21 @@
 }
 
 // Assess returns the verdict on a request.
-func (b *CrashSet) Assess(now time.Time, digest Digest) Verdict {
-	crashes := b.requests[digest]
+func (s *CrashSet) Assess(now time.Time, digest Digest) Verdict {
+	crashes := s.requests[digest]
 	v := Verdict{Crashes: len(crashes)}
 	if v.Crashes < suspectThreshold {
 		return v
 	}
 	var lastCrash time.Time
-	ownEvidence := b.evidence(digest)
-	for _, e := range crashes {
-		if e.Cleared || b.attributedToOther(e, ownEvidence) {
+	ownEvidence := s.evidence(digest)
+	for _, c := range crashes {
+		if c.Cleared || s.attributedToOther(c, ownEvidence) {
 			continue
 		}
 		v.Attributed++
-		if e.CrashedAt.After(lastCrash) {
-			lastCrash = e.CrashedAt
+		if c.CrashedAt.After(lastCrash) {
+			lastCrash = c.CrashedAt
 		}
 	}
 	if v.Attributed < suspectThreshold {
@@ -290,19 +291,19 @@
 
 // attributedToOther reports whether a crash is attributed to another request on the same
 // server: one with stronger evidence, or one with equal evidence whose answer had not begun
-// while the answer of e's request had. A request that only shares servers with harmful
+// while the answer of c's request had. A request that only shares servers with harmful
 // requests is therefore not suspected for the crashes that they cause.
-func (b *CrashSet) attributedToOther(e *Crash, ownEvidence evidence) bool {
-	for other := range b.servers[e.Server] {
-		if other == e.Request {
+func (s *CrashSet) attributedToOther(c *Crash, ownEvidence evidence) bool {
+	for other := range s.servers[c.Server] {
+		if other == c.Request {
 			continue
 		}
-		otherCrash := b.requests[other][e.Server]
+		otherCrash := s.requests[other][c.Server]
 		if otherCrash.Cleared {
 			continue
 		}
-		stronger := b.evidence(other).compare(ownEvidence)
-		if stronger > 0 || stronger == 0 && e.Answered && !otherCrash.Answered {
+		stronger := s.evidence(other).compare(ownEvidence)
+		if stronger > 0 || stronger == 0 && c.Answered && !otherCrash.Answered {
 			return true
 		}
 	}
@@ -321,17 +322,17 @@
 
 // Entries returns up to most requests under which more than one server crashed, those with
 // the most crashes first.
-func (b *CrashSet) Entries(now time.Time, most int) []Entry {
+func (s *CrashSet) Entries(now time.Time, most int) []Entry {
 	var entries []Entry
-	for digest, crashes := range b.requests {
+	for digest, crashes := range s.requests {
 		if len(crashes) < 2 {
 			continue
 		}
-		v := b.Assess(now, digest)
+		v := s.Assess(now, digest)
 		entry := Entry{Digest: digest, State: v.State.String(), Crashes: v.Crashes, Attributed: v.Attributed, Until: v.Until}
-		for _, e := range crashes {
-			if e.CrashedAt.After(entry.Last) {
-				entry.Last = e.CrashedAt
+		for _, c := range crashes {
+			if c.CrashedAt.After(entry.Last) {
+				entry.Last = c.CrashedAt
 			}
 		}
 		entries = append(entries, entry)
