--- a/internal/placing/copy.go
+++ b/internal/placing/copy.go
@@ -30,27 +30,27 @@
 // source returns the engine that has cached most of a prompt's shared parts, of equal ones the
 // one that used them last. Its engine is nil if there is none. The engine may be leaving: a
 // copy gives it no work, and what it has cached is lost soon.
-func (b *Scheduler) source(now time.Time, p Prompt) cacheHolder {
-	if k := b.holderOf(now, p, p.Shared, p.SharedTokens); k.engine != nil {
+func (s *Scheduler) source(now time.Time, p Prompt) cacheHolder {
+	if k := s.holderOf(now, p, p.Shared, p.SharedTokens); k.engine != nil {
 		return k
 	}
-	return b.holderOf(now, p, p.First, p.FirstTokens)
+	return s.holderOf(now, p, p.First, p.FirstTokens)
 }
 
-func (b *Scheduler) holderOf(now time.Time, p Prompt, part uint64, tokens int) cacheHolder {
-	engines, ok := b.cached.Get(part)
+func (s *Scheduler) holderOf(now time.Time, p Prompt, part uint64, tokens int) cacheHolder {
+	engines, ok := s.cached.Get(part)
 	if !ok || part == 0 {
 		return cacheHolder{}
 	}
 	best := cacheHolder{tokens: tokens}
 	var last time.Time
-	for name, r := range engines {
-		e := b.engines[name]
-		if e == nil || !p.allows(e) || e.health.Ejected(now) || now.Sub(r.first) < maxReadDelay || now.Sub(r.last) >= cacheLifetime {
+	for name, entry := range engines {
+		e := s.engines[name]
+		if e == nil || !p.allows(e) || e.health.Ejected(now) || now.Sub(entry.first) < maxReadDelay || now.Sub(entry.last) >= cacheLifetime {
 			continue
 		}
-		if best.engine == nil || r.last.After(last) || r.last.Equal(last) && name < best.Instance {
-			best.engine, last = e, r.last
+		if best.engine == nil || entry.last.After(last) || entry.last.Equal(last) && name < best.Instance {
+			best.engine, last = e, entry.last
 		}
 	}
 	if best.engine == nil {
@@ -69,16 +69,16 @@
 }
 
 // newReadPlan returns the plan of an engine that lacks missing tokens.
-func newReadPlan(e *engine, p Prompt, missing int, from cacheHolder) readPlan {
-	readPlan := readPlan{missing: missing}
-	if from.engine == nil || from.engine == e || e.TokenBytes <= 0 || e.Link <= 0 {
-		return readPlan
+func newReadPlan(e *engine, p Prompt, missing int, source cacheHolder) readPlan {
+	plan := readPlan{missing: missing}
+	if source.engine == nil || source.engine == e || e.TokenBytes <= 0 || e.Link <= 0 {
+		return plan
 	}
-	tokens := min(from.tokens-(p.SharedTokens-missing), missing)
+	tokens := min(source.tokens-(p.SharedTokens-missing), missing)
 	if tokens >= minCopyTokens {
-		readPlan.copied, readPlan.source = tokens, from.engine
+		plan.copied, plan.source = tokens, source.engine
 	}
-	return readPlan
+	return plan
 }
 
 // duration returns how long the plan takes on an idle engine, including the prompt's own part.
--- a/internal/placing/ratelimit.go
+++ b/internal/placing/ratelimit.go
@@ -46,8 +46,8 @@
 	newOwner bool
 }
 
-func (b *Scheduler) rateLimiter(now time.Time, alone bool) rateLimiter {
-	return rateLimiter{now: now, alone: alone, newOwner: now.Sub(b.ownerSince) < rateWindow}
+func (s *Scheduler) rateLimiter(now time.Time, alone bool) rateLimiter {
+	return rateLimiter{now: now, alone: alone, newOwner: now.Sub(s.ownerSince) < rateWindow}
 }
 
 // limit returns how many prompts an engine may get in a window.
--- a/internal/placing/scheduler.go
+++ b/internal/placing/scheduler.go
@@ -165,22 +165,22 @@
 }
 
 // SetEngines replaces the engines and keeps the state of those that remain.
-func (b *Scheduler) SetEngines(engines []Engine) {
-	known := b.engines
-	b.engines = make(map[string]*engine, len(engines))
+func (s *Scheduler) SetEngines(engines []Engine) {
+	known := s.engines
+	s.engines = make(map[string]*engine, len(engines))
 	for _, e := range engines {
-		k := known[e.Instance]
-		if k == nil {
-			k = &engine{}
+		kept := known[e.Instance]
+		if kept == nil {
+			kept = &engine{}
 		}
-		k.Engine = e
-		b.engines[e.Instance] = k
+		kept.Engine = e
+		s.engines[e.Instance] = kept
 	}
 }
 
 // Report records the outcome of a prompt.
-func (b *Scheduler) Report(now time.Time, r Report) {
-	e := b.engines[r.Instance]
+func (s *Scheduler) Report(now time.Time, r Report) {
+	e := s.engines[r.Instance]
 	if e == nil {
 		return
 	}
@@ -192,17 +192,17 @@
 }
 
 // Place selects the engine with the lowest cost and records the prompt there.
-func (b *Scheduler) Place(now time.Time, p Prompt) Placement {
-	if b.ownerSince.IsZero() {
-		b.ownerSince = now
+func (s *Scheduler) Place(now time.Time, p Prompt) Placement {
+	if s.ownerSince.IsZero() {
+		s.ownerSince = now
 	}
 	var best *engine
 	var bestCost time.Duration
-	ranks := b.ranks(p)
-	from := b.source(now, p)
-	usable, wait := b.usable(now, p)
+	ranks := s.ranks(p)
+	source := s.source(now, p)
+	usable, wait := s.usable(now, p)
 	for _, e := range usable {
-		cost := b.cost(now, e, p, ranks, from)
+		cost := s.cost(now, e, p, ranks, source)
 		if best == nil || cost < bestCost || cost == bestCost && e.Instance < best.Instance {
 			best, bestCost = e, cost
 		}
@@ -210,30 +210,30 @@
 	if best == nil {
 		return Placement{Wait: wait}
 	}
-	readPlan := newReadPlan(best, p, b.missing(now, best, p), from)
-	nominal := readPlan.duration(best, p)
+	plan := newReadPlan(best, p, s.missing(now, best, p), source)
+	nominal := plan.duration(best, p)
 	best.health.StartProbe(now)
 	if best.ColdRateLimit > 0 {
 		best.recentPrompts.add(now)
 	}
 	wait = max(best.freeAt.Sub(now), 0)
 	best.freeAt = now.Add(wait + time.Duration(float64(nominal)*best.health.Ratio(now)))
-	b.recordCached(now, p.First, best.Instance)
-	b.recordCached(now, p.Shared, best.Instance)
-	place := Placement{Instance: best.Instance, Wait: wait, Expected: wait + nominal + Overhead}
-	if readPlan.copied > 0 {
-		place.Source = readPlan.source.Address
+	s.recordCached(now, p.First, best.Instance)
+	s.recordCached(now, p.Shared, best.Instance)
+	placement := Placement{Instance: best.Instance, Wait: wait, Expected: wait + nominal + Overhead}
+	if plan.copied > 0 {
+		placement.Source = plan.source.Address
 	}
-	return place
+	return placement
 }
 
 // usable returns the engines that may get a prompt now. If there are none, it returns the time
 // until one may get it; 0 means never.
-func (b *Scheduler) usable(now time.Time, p Prompt) ([]*engine, time.Duration) {
+func (s *Scheduler) usable(now time.Time, p Prompt) ([]*engine, time.Duration) {
 	var all, healthy []*engine
 	var shortestWait time.Duration
-	limiter := b.rateLimiter(now, p.WithoutOwner)
-	for _, e := range b.engines {
+	limiter := s.rateLimiter(now, p.WithoutOwner)
+	for _, e := range s.engines {
 		if e.Leaving || !p.allows(e) || slices.Contains(p.Excluded, e.Instance) {
 			continue
 		}
@@ -276,12 +276,12 @@
 }
 
 // ranks returns the positions of a prompt's homes by rendezvous hashing.
-func (b *Scheduler) ranks(p Prompt) map[string]int {
+func (s *Scheduler) ranks(p Prompt) map[string]int {
 	if p.Shared == 0 {
 		return nil
 	}
-	names := make([]string, 0, len(b.engines))
-	for name := range b.engines {
+	names := make([]string, 0, len(s.engines))
+	for name := range s.engines {
 		names = append(names, name)
 	}
 	ranks := make(map[string]int, maxRanks)
@@ -292,11 +292,11 @@
 }
 
 // missing returns how many shared tokens an engine has not cached.
-func (b *Scheduler) missing(now time.Time, e *engine, p Prompt) int {
+func (s *Scheduler) missing(now time.Time, e *engine, p Prompt) int {
 	switch {
-	case p.Shared == 0 || b.isCached(now, p.Shared, e.Instance):
+	case p.Shared == 0 || s.isCached(now, p.Shared, e.Instance):
 		return 0
-	case b.isCached(now, p.First, e.Instance):
+	case s.isCached(now, p.First, e.Instance):
 		return p.SharedTokens - p.FirstTokens
 	default:
 		return p.SharedTokens
@@ -305,51 +305,51 @@
 
 // cost returns the time until the first event at an engine, with the costs of rereading,
 // copying, crossing zones and being late added as time.
-func (b *Scheduler) cost(now time.Time, e *engine, p Prompt, ranks map[string]int, from cacheHolder) time.Duration {
-	missing := b.missing(now, e, p)
-	rank, home := ranks[e.Instance]
-	if home && rank == 0 && now.Sub(b.ownerSince) < newOwnerPeriod {
+func (s *Scheduler) cost(now time.Time, e *engine, p Prompt, ranks map[string]int, source cacheHolder) time.Duration {
+	missing := s.missing(now, e, p)
+	rank, isHome := ranks[e.Instance]
+	if isHome && rank == 0 && now.Sub(s.ownerSince) < newOwnerPeriod {
 		missing = int(newOwnerMissShare * float64(missing))
 	}
-	readPlan := newReadPlan(e, p, missing, from)
-	first := max(e.freeAt.Sub(now), 0) + time.Duration(float64(readPlan.duration(e, p))*e.health.Ratio(now))
-	cost := first + readPlan.extraCost(e)
-	if p.TimeLeft > 0 && first+Overhead > p.TimeLeft {
+	plan := newReadPlan(e, p, missing, source)
+	untilFirst := max(e.freeAt.Sub(now), 0) + time.Duration(float64(plan.duration(e, p))*e.health.Ratio(now))
+	cost := untilFirst + plan.extraCost(e)
+	if p.TimeLeft > 0 && untilFirst+Overhead > p.TimeLeft {
 		cost += latePenalty
 	}
 	if p.Zone != "" && e.Zone != p.Zone {
 		cost += time.Duration(float64(p.InputBytes) / 1e6 * float64(crossZoneCost))
 	}
-	if !home {
+	if !isHome {
 		rank = maxRanks
 	}
 	cost += time.Duration(rank) * rankPenalty
 	return time.Duration(e.health.PenalizedCost(now, float64(cost+Overhead)))
 }
 
-func (b *Scheduler) isCached(now time.Time, part uint64, instance string) bool {
-	engines, ok := b.cached.Get(part)
+func (s *Scheduler) isCached(now time.Time, part uint64, instance string) bool {
+	engines, ok := s.cached.Get(part)
 	return ok && now.Sub(engines[instance].last) < cacheLifetime
 }
 
-func (b *Scheduler) recordCached(now time.Time, part uint64, instance string) {
+func (s *Scheduler) recordCached(now time.Time, part uint64, instance string) {
 	if part == 0 {
 		return
 	}
-	engines, ok := b.cached.Get(part)
+	engines, ok := s.cached.Get(part)
 	if !ok {
 		engines = make(map[string]cacheEntry)
-		b.cached.Add(part, engines)
+		s.cached.Add(part, engines)
 	}
-	for name, r := range engines {
-		if now.Sub(r.last) > cacheLifetime {
+	for name, entry := range engines {
+		if now.Sub(entry.last) > cacheLifetime {
 			delete(engines, name)
 		}
 	}
-	r, ok := engines[instance]
+	entry, ok := engines[instance]
 	if !ok {
-		r.first = now
+		entry.first = now
 	}
-	r.last = now
-	engines[instance] = r
+	entry.last = now
+	engines[instance] = entry
 }
