--- a/internal/stageplan/order.go
+++ b/internal/stageplan/order.go
@@ -106,7 +106,8 @@
 	s.rateUpdatedAt = now
 }
 
-// CallTime returns the average time of recent calls.
+// CallTime returns the average nominal time of recent calls, or that of a half-full call
+// before the first.
 func (s *Scheduler) CallTime() time.Duration {
 	if s.recentCallTime == 0 {
 		return s.nominalTime(s.spec.Size / 2)
--- a/internal/stageplan/scheduler.go
+++ b/internal/stageplan/scheduler.go
@@ -62,7 +62,7 @@
 	servers  map[netip.AddrPort]*serverState
 	// waiting has the tasks with pending pieces.
 	waiting []*Task
-	// recentCallTime is the average time of recent calls, by the number of their pieces.
+	// recentCallTime is the moving average of the nominal times of calls, 0 before the first.
 	recentCallTime time.Duration
 	// piecesPerSecond is the throughput averaged over throughputWindow, as of rateUpdatedAt.
 	piecesPerSecond float64
@@ -149,8 +149,8 @@
 	return s.spec.CallTime + time.Duration(pieces)*s.spec.PieceTime
 }
 
-// usable returns the servers that may get calls, the fastest first. Servers that leave, rest
-// or are backed off from are left out.
+// usable returns the servers that may get calls, the fastest first. It omits servers that are
+// leaving, resting or in backoff.
 func (s *Scheduler) usable(now time.Time) []*serverState {
 	var states []*serverState
 	for _, state := range s.servers {
@@ -170,11 +170,11 @@
 
 // Next returns the next call. It reports false if nothing can be sent now.
 func (s *Scheduler) Next(now time.Time) (*Call, bool) {
-	c := s.nextCall(now)
-	if c == nil {
+	call := s.nextCall(now)
+	if call == nil {
 		s.updateBacklog(now)
 	}
-	return c, c != nil
+	return call, call != nil
 }
 
 // Idle reports whether no task is queued.
@@ -209,8 +209,8 @@
 	s.relaxZones(now, usable)
 	s.rejectHopeless(now, usable)
 	if !s.reservesServers(now, len(free), len(usable)) {
-		if b := s.fillFree(now, free, zones); b != nil {
-			return b
+		if call := s.fillFree(now, free, zones); call != nil {
+			return call
 		}
 	}
 	return s.fillSlow(now, slow, len(usable)-len(slow), zones)
@@ -237,8 +237,8 @@
 		if best < 0 {
 			return nil
 		}
-		if b := s.fill(now, free[best], callLimits{maxPieces: maxPieces, split: split}, zones); b != nil {
-			return b
+		if call := s.fill(now, free[best], callLimits{maxPieces: maxPieces, split: split}, zones); call != nil {
+			return call
 		}
 		// The server has no room for the results of any queued task.
 		free = slices.Delete(free, best, best+1)
@@ -290,50 +290,50 @@
 }
 
 // fill builds a call for a server. It returns nil if no task fits.
-func (s *Scheduler) fill(now time.Time, state *serverState, c callLimits, zones map[string]bool) *Call {
-	b := &Call{server: state, target: state.Server, startedAt: now}
+func (s *Scheduler) fill(now time.Time, state *serverState, limits callLimits, zones map[string]bool) *Call {
+	call := &Call{server: state, target: state.Server, startedAt: now}
 	room := s.spec.ResultCapacity - state.used
 	for _, t := range s.waiting {
-		if !s.zoneAllows(now, t, state, zones) || c.skipRetries && t.hasRetries() && now.Sub(t.arrivedAt) < retryWaitLimit {
+		if !s.zoneAllows(now, t, state, zones) || limits.skipRetries && t.hasRetries() && now.Sub(t.arrivedAt) < retryWaitLimit {
 			continue
 		}
-		b.add(t, s.pieceCount(t, b, c.maxPieces, c.split, room))
+		call.add(t, s.pieceCount(t, call, limits.maxPieces, limits.split, room))
 		if len(t.pending) > 0 && len(t.pending) < len(t.Pieces) && t.zoneSensitive() {
 			// The remaining pieces are best done in the zone of this part.
 			t.Zone = state.Zone
 		}
-		if len(b.items) >= c.maxPieces {
+		if len(call.items) >= limits.maxPieces {
 			break
 		}
 	}
-	if len(b.items) == 0 {
+	if len(call.items) == 0 {
 		return nil
 	}
 	s.waiting = slices.DeleteFunc(s.waiting, func(t *Task) bool { return len(t.pending) == 0 })
-	b.expected = s.expected(state, len(b.items))
-	nominalTime := s.nominalTime(len(b.items))
+	call.expected = s.expected(state, len(call.items))
+	nominalTime := s.nominalTime(len(call.items))
 	s.recentCallTime = s.CallTime() + (nominalTime-s.CallTime())/averageWeight
-	state.used += b.bytes
-	state.running = append(state.running, b)
-	return b
+	state.used += call.bytes
+	state.running = append(state.running, call)
+	return call
 }
 
 // pieceCount returns how many pieces of a task go into a call. A task is split only if it is
 // larger than a call, or if more pieces wait than the free servers take and calls should be
 // full. Otherwise its pieces end together and in one zone.
-func (s *Scheduler) pieceCount(t *Task, b *Call, maxPieces int, split bool, room int64) int {
-	count := min(len(t.pending), s.spec.Size-len(b.items))
+func (s *Scheduler) pieceCount(t *Task, call *Call, maxPieces int, split bool, room int64) int {
+	count := min(len(t.pending), s.spec.Size-len(call.items))
 	if s.spec.ResultCapacity > 0 && t.ResultBytes > 0 {
-		count = min(count, int(max(room-b.bytes, 0)/t.ResultBytes))
+		count = min(count, int(max(room-call.bytes, 0)/t.ResultBytes))
 	}
 	whole := min(len(t.pending), s.spec.Size)
 	if count > 0 && split {
-		return min(count, maxPieces-len(b.items))
+		return min(count, maxPieces-len(call.items))
 	}
-	if count < whole && (len(b.items) > 0 || int64(whole)*t.ResultBytes <= s.spec.ResultCapacity) {
+	if count < whole && (len(call.items) > 0 || int64(whole)*t.ResultBytes <= s.spec.ResultCapacity) {
 		return 0
 	}
-	if len(b.items) > 0 && len(b.items)+count > maxPieces {
+	if len(call.items) > 0 && len(call.items)+count > maxPieces {
 		return 0
 	}
 	return count
--- a/internal/stageplan/slow.go
+++ b/internal/stageplan/slow.go
@@ -43,10 +43,10 @@
 			continue
 		}
 		slices.Reverse(s.waiting)
-		b := s.fill(now, state, callLimits{maxPieces: s.spec.Size, split: s.Pieces() > s.spec.Size, skipRetries: fast > 0 && state.losesAnswers()}, zones)
+		call := s.fill(now, state, callLimits{maxPieces: s.spec.Size, split: s.Pieces() > s.spec.Size, skipRetries: fast > 0 && state.losesAnswers()}, zones)
 		slices.Reverse(s.waiting)
-		if b != nil {
-			return b
+		if call != nil {
+			return call
 		}
 	}
 	return nil
