--- a/internal/relay/core.go
+++ b/internal/relay/core.go
@@ -24,7 +24,7 @@
 
 // Options are the dependencies and settings of a Core; all are required unless noted.
 type Options struct {
-	// Context is canceled when the node stops.
+	// Context is cancelled when the node stops.
 	Context context.Context
 	Zone    string
 	Dialect Dialect
--- a/internal/relay/crash.go
+++ b/internal/relay/crash.go
@@ -23,16 +23,17 @@
 	// connection: a crashing server may keep listening shortly after it has stopped
 	// answering.
 	probeRetryDelay = 100 * time.Millisecond
-	// probeTimeout limits the probes of one server. It is also the window before a probe
-	// found the server down in which a lost or abandoned request counts as hit by the
-	// crash.
+	// probeTimeout limits the probes of one server. It is also how long before a probe finds
+	// the server down a request may have been lost or abandoned and still count as hit by
+	// the crash.
 	probeTimeout = time.Second
 	// maxBrokenRecords limits the number of servers with broken connections, and the
 	// number of requests recorded for each.
 	maxBrokenRecords = 256
 )
 
-// lostRequest is a request that had been sent to a server when its connection broke.
+// lostRequest is a request that had been sent to a server when its connection broke or this
+// host gave the request up.
 type lostRequest struct {
 	digest suspect.Digest
 	// answered reports whether the answer had started.
@@ -44,12 +45,12 @@
 	failedAt time.Time
 }
 
-// failingServer is a backend server with broken connections.
+// failingServer is a backend server with lost requests.
 type failingServer struct {
 	server Server
 	// requests holds the lost requests of the last brokenRetention, the latest last.
 	requests []lostRequest
-	// lastFailure is when the last connection broke.
+	// lastFailure is when the last connection broke or the last request was given up.
 	lastFailure time.Time
 	// probing reports whether a probe of the server is running.
 	probing bool
@@ -64,7 +65,7 @@
 	// with the requests that a crashed server was working on.
 	refuses func(ctx context.Context, s Server) bool
 	onCrash func(s Server, requests []lostRequest)
-	// ctx is canceled when the host ends, which also ends the probes.
+	// ctx is cancelled when the host ends, which also ends the probes.
 	ctx context.Context
 
 	mu      sync.Mutex
@@ -91,19 +92,19 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.removeExpired(r.failedAt)
-	k := d.ensureRecord(s)
-	if k == nil {
+	record := d.ensureRecord(s)
+	if record == nil {
 		return false, false
 	}
-	k.lastFailure = r.failedAt
-	if k.crashed {
+	record.lastFailure = r.failedAt
+	if record.crashed {
 		return false, true
 	}
-	if len(k.requests) < maxBrokenRecords {
-		k.requests = append(k.requests, r)
+	if len(record.requests) < maxBrokenRecords {
+		record.requests = append(record.requests, r)
 	}
-	needsProbe = !k.probing
-	k.probing = true
+	needsProbe = !record.probing
+	record.probing = true
 	return needsProbe, false
 }
 
@@ -114,31 +115,31 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.removeExpired(r.failedAt)
-	if k := d.ensureRecord(s); k != nil && !k.crashed && len(k.requests) < maxBrokenRecords {
-		k.lastFailure = r.failedAt
-		k.requests = append(k.requests, r)
+	if record := d.ensureRecord(s); record != nil && !record.crashed && len(record.requests) < maxBrokenRecords {
+		record.lastFailure = r.failedAt
+		record.requests = append(record.requests, r)
 	}
 }
 
 // ensureRecord returns the record of a server, or nil if there are too many. The mutex
 // must be held.
 func (d *crashDetector) ensureRecord(s Server) *failingServer {
-	k := d.servers[s.Instance]
-	if k == nil && len(d.servers) < maxBrokenRecords {
-		k = &failingServer{server: s}
-		d.servers[s.Instance] = k
+	record := d.servers[s.Instance]
+	if record == nil && len(d.servers) < maxBrokenRecords {
+		record = &failingServer{server: s}
+		d.servers[s.Instance] = record
 	}
-	return k
+	return record
 }
 
 // removeExpired drops records older than brokenRetention. The mutex must be held.
 func (d *crashDetector) removeExpired(now time.Time) {
-	for instance, k := range d.servers {
-		if now.Sub(k.lastFailure) >= brokenRetention {
+	for instance, record := range d.servers {
+		if now.Sub(record.lastFailure) >= brokenRetention {
 			delete(d.servers, instance)
 			continue
 		}
-		k.requests = slices.DeleteFunc(k.requests, func(r lostRequest) bool { return now.Sub(r.failedAt) >= brokenRetention })
+		record.requests = slices.DeleteFunc(record.requests, func(r lostRequest) bool { return now.Sub(r.failedAt) >= brokenRetention })
 	}
 }
 
@@ -162,8 +163,8 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if k := d.servers[s.Instance]; k != nil {
-		k.probing = false
+	if record := d.servers[s.Instance]; record != nil {
+		record.probing = false
 	}
 }
 
@@ -179,18 +180,18 @@
 	now := time.Now()
 	d.mu.Lock()
 	d.removeExpired(now)
-	k := d.servers[instance]
-	if k == nil || k.crashed {
+	record := d.servers[instance]
+	if record == nil || record.crashed {
 		d.mu.Unlock()
 		return
 	}
-	k.crashed = true
-	requests := slices.DeleteFunc(k.requests, func(r lostRequest) bool {
+	record.crashed = true
+	requests := slices.DeleteFunc(record.requests, func(r lostRequest) bool {
 		return now.Sub(r.failedAt) >= within || r.abandoned && now.Sub(r.failedAt) >= probeTimeout
 	})
-	k.requests = nil
+	record.requests = nil
 	d.mu.Unlock()
-	d.onCrash(k.server, requests)
+	d.onCrash(record.server, requests)
 }
 
 // recordConnectionLoss records that the connection to a server broke while it worked on the
@@ -223,11 +224,11 @@
 func (c *Core) serverCrashed(s Server, requests []lostRequest) {
 	c.scope.Counter("servers_ended").Inc(1)
 	c.scope.Counter("requests_lain").Inc(int64(len(requests)))
-	ends := make([]suspect.Crash, 0, len(requests))
+	crashes := make([]suspect.Crash, 0, len(requests))
 	for _, r := range requests {
-		ends = append(ends, suspect.Crash{Request: r.digest, Server: suspect.ServerOf(s.Instance), Answered: r.answered, CrashedAt: r.failedAt})
+		crashes = append(crashes, suspect.Crash{Request: r.digest, Server: suspect.ServerOf(s.Instance), Answered: r.answered, CrashedAt: r.failedAt})
 		c.log.WithFields(logrus.Fields{"server": s.Instance, "service": s.Service, "digest": r.digest, "answered": r.answered}).
 			Info("a backend server crashed while serving a request")
 	}
-	c.options.Suspects.RecordCrashes(ends)
+	c.options.Suspects.RecordCrashes(crashes)
 }
--- a/internal/relay/drain.go
+++ b/internal/relay/drain.go
@@ -55,7 +55,7 @@
 	return time.Until(d.endsAt), true
 }
 
-// withDrainDeadline returns a context derived from ctx that is canceled with errDrained
+// withDrainDeadline returns a context derived from ctx that is cancelled with errDrained
 // when a draining host has no more than rest left to run, unless the request's own
 // deadline is before the host's end. The returned function releases its resources.
 func (j *job) withDrainDeadline(ctx context.Context, rest time.Duration) (context.Context, func()) {
--- a/internal/relay/placement.go
+++ b/internal/relay/placement.go
@@ -53,7 +53,7 @@
 
 // awaitPlacement waits before an engine is asked for again while none may receive the
 // prompt yet. It reports false if the request would be too late after the wait, or was
-// canceled.
+// cancelled.
 func (s *stream) awaitPlacement(ctx context.Context, wait time.Duration) bool {
 	j := s.job
 	j.core.scope.Counter("places_awaited").Inc(1)
--- a/internal/relay/serve.go
+++ b/internal/relay/serve.go
@@ -83,9 +83,9 @@
 	releaseTrial func()
 
 	mu sync.Mutex
-	// attempts counts the sends that may have run, sends all of them.
-	attempts int
-	sends    int
+	// possibleRunCount counts the sends that may have run, sends all of them.
+	possibleRunCount int
+	sends            int
 	// answers counts the sends that yielded an answer of any kind.
 	answers int
 	// server is where the request was sent last, and sentAt when.
@@ -142,14 +142,14 @@
 func (j *job) recordPossibleRun() {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.attempts++
+	j.possibleRunCount++
 }
 
 // possibleRuns returns the number of sends that may have run.
 func (j *job) possibleRuns() int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	return j.attempts
+	return j.possibleRunCount
 }
 
 // sendCount returns the number of sends.
@@ -217,16 +217,16 @@
 	if j.regions, anywhere = route.AllowedRegions.intersect(workspace.AllowedRegions); !anywhere {
 		return nil, verdict.New(verdict.NotRun, verdict.ReasonNoServer, "relay: route %s and workspace %s share no home", route.Name, workspace.Name).WithRetryAfter(notReadyRetryAfter)
 	}
-	held := route.Timeout
+	timeout := route.Timeout
 	if r.CallerTimeout > 0 {
-		held = min(held, r.CallerTimeout)
+		timeout = min(timeout, r.CallerTimeout)
 	}
-	j.deadline = r.Arrived.Add(held)
+	j.deadline = r.Arrived.Add(timeout)
 	j.bootDeadline = c.options.SinceBoot() + time.Until(j.deadline)
 	j.objective = j.firstAttemptTime().Add(route.Objective)
 	j.firstDeadline = j.deadline
 	if route.FirstEventTimeout > 0 {
-		j.firstDeadline = r.Arrived.Add(min(held, route.FirstEventTimeout))
+		j.firstDeadline = r.Arrived.Add(min(timeout, route.FirstEventTimeout))
 	}
 	j.log = c.log.WithFields(logrus.Fields{"request": r.ID, "route": route.Name})
 	if err := j.checkDrainOnArrival(); err != nil {
