--- a/internal/node/execute.go
+++ b/internal/node/execute.go
@@ -257,18 +257,18 @@
 	if s.expected.Samples < minSamples {
 		return defaultCallTimeout
 	}
-	likely := callTimeoutFactor * s.expected.Typical
+	timeout := callTimeoutFactor * s.expected.Typical
 	if j.background() {
-		return max(likely, defaultCallTimeout)
+		return max(timeout, defaultCallTimeout)
 	}
-	return max(likely, minCallTimeout)
+	return max(timeout, minCallTimeout)
 }
 
 func (n *Node) callStage(ctx context.Context, j *job, s *step, call backend.Call, last bool) (json.RawMessage, backend.Report, error) {
-	tryCtx, cancel := context.WithTimeout(ctx, callTimeout(j, s))
+	callCtx, cancel := context.WithTimeout(ctx, callTimeout(j, s))
 	defer cancel()
 	body := protocol.StageCall{Workspace: j.workspace.Name, Input: j.spec.Input, Previous: j.previous, Unrepeatable: j.unrepeatable}
-	result, report, err := n.backends.Stage(tryCtx, call, body)
+	result, report, err := n.backends.Stage(callCtx, call, body)
 	if err == nil && last && !n.appendChunk(j, string(result)) {
 		return nil, report, errAnswerTooLarge()
 	}
@@ -317,13 +317,13 @@
 	if cause := context.Cause(ctx); cause != nil {
 		err = endedBy(cause, j.sent)
 	}
-	own := n.table.Issued(j.run.ID)
+	issuedHere := n.table.Issued(j.run.ID)
 	failed := request.NewFailed(err)
 	if failed.Reason == verdict.ReasonConnection {
 		// The failed connection is that to a backend server, not the caller's.
 		failed.Reason = verdict.ReasonServerFailed
 	}
-	failed.Settled = own && failed.Verdict == verdict.NotRun
+	failed.Settled = issuedHere && failed.Verdict == verdict.NotRun
 	failed.Costs = j.costs
 	n.log.WithFields(logrus.Fields{
 		"request":   j.run.ID.String(),
@@ -335,7 +335,7 @@
 	n.endRun(j.run, failed)
 	n.scope.Tagged(map[string]string{"verdict": failed.Verdict.String(), "reason": string(failed.Reason)}).Counter("failed").Inc(1)
 	switch {
-	case own && (failed.Verdict == verdict.NotRun || failed.Reason == verdict.ReasonLeaving):
+	case issuedHere && (failed.Verdict == verdict.NotRun || failed.Reason == verdict.ReasonLeaving):
 		// Nothing is kept for readers, and nothing may start under this id.
 		n.table.Refuse(j.run, failed.Verdict, failed.Reason)
 	case failed.Reason == verdict.ReasonLeaving:
