--- a/internal/gateway/node.go
+++ b/internal/gateway/node.go
@@ -197,10 +197,10 @@
 // peerIdleTimeout is how long idle connections from other hosts are kept open.
 const peerIdleTimeout = 60 * time.Second
 
-// maxAllWatch is the fleet size up to which all nodes watch the publisher. In larger fleets,
-// watchersPerZone nodes of each availability zone watch, and the rest get the changes from
-// peers.
 const (
+	// maxAllWatch is the fleet size up to which all nodes watch the publisher. In larger
+	// fleets, watchersPerZone nodes of each availability zone watch, and the rest get the
+	// changes from peers.
 	maxAllWatch     = 12
 	watchersPerZone = 3
 	// maxBackoff limits the backoff between attempts to reach the publisher, so that its
@@ -230,7 +230,7 @@
 }
 
 // setPublisherAnswers records whether the publisher answers, and announces a change to peers
-// at once, so that hosts which it does not answer leave the reading to those which it does.
+// at once, so that the hosts that it answers do the reading.
 func (n *Node) setPublisherAnswers(space publisher.Space, answers bool) {
 	if !n.view.SetReads(n.readStatus.set(space, answers)) {
 		return
@@ -250,7 +250,7 @@
 		OnAnswering: func(answers bool) { n.setPublisherAnswers(space, answers) },
 		Accepted:    func(entries []published.Entry) { n.applyWatched(space, entries) },
 		OnChanges: func(after, through uint64, entries []published.Entry) {
-			n.sendDirect(space, peer.Changes{After: after, Through: through, Entries: entries})
+			n.pushChanges(space, peer.Changes{After: after, Through: through, Entries: entries})
 		},
 		OnUnavailable: func() { n.serverTable.publisherLost(time.Now()) },
 		OnAvailable:   func() { n.serverTable.publisherRecovered(time.Now()) },
@@ -262,7 +262,7 @@
 }
 
 // applyWatched applies entries received by a watch, and gossips them unless the watching hosts
-// send them to all others directly.
+// push them directly to all others.
 func (n *Node) applyWatched(space publisher.Space, entries []published.Entry) {
 	if n.isDirect(peerSpaces[space]) {
 		n.refresh()
@@ -271,16 +271,15 @@
 	n.applyAndSpread(space, entries)
 }
 
-// sendDirect sends changes received by a watch to the hosts that this one is responsible for.
-func (n *Node) sendDirect(space publisher.Space, changes peer.Changes) {
+// pushChanges pushes changes received by a watch to this host's share of the fleet.
+func (n *Node) pushChanges(space publisher.Space, changes peer.Changes) {
 	if n.isDirect(peerSpaces[space]) {
 		n.gossip.PushChanges(peerSpaces[space], changes, peer.ElectedEverywhere(n.view, string(space), watchersPerZone))
 	}
 }
 
-// isDirect reports whether the hosts that watch a space send its changes to all others
-// directly. In a small fleet all hosts watch, and configurations are too large to be sent
-// directly.
+// isDirect reports whether the hosts that watch a space push its changes directly to all
+// others. In a small fleet all hosts watch, and configurations are too large to be pushed.
 func (n *Node) isDirect(space peerpb.Space) bool {
 	return space == peerpb.Space_SPACE_HOSTS && n.isLarge()
 }
--- a/internal/peer/gossip.go
+++ b/internal/peer/gossip.go
@@ -108,8 +108,8 @@
 	viewChanged chan struct{}
 
 	mu sync.Mutex
-	// round has the members still to contact in the current rotation.
-	round []netip.AddrPort
+	// rotation has the members still to contact before all are contacted anew.
+	rotation []netip.AddrPort
 	// syncing has the running synchronisations by peer and space.
 	syncing    map[syncKey]*synchronisation
 	random     *rand.Rand
--- a/internal/peer/targets.go
+++ b/internal/peer/targets.go
@@ -30,15 +30,15 @@
 		states[m.Address] = m.State
 	}
 	for {
-		if len(g.round) == 0 {
-			g.round = neighbours(g.options.View.Self().Address, reachable(members))
-			g.random.Shuffle(len(g.round), func(i, j int) { g.round[i], g.round[j] = g.round[j], g.round[i] })
+		if len(g.rotation) == 0 {
+			g.rotation = neighbours(g.options.View.Self().Address, reachable(members))
+			g.random.Shuffle(len(g.rotation), func(i, j int) { g.rotation[i], g.rotation[j] = g.rotation[j], g.rotation[i] })
 		}
-		if len(g.round) == 0 {
+		if len(g.rotation) == 0 {
 			return netip.AddrPort{}, false
 		}
-		target := g.round[0]
-		g.round = g.round[1:]
+		target := g.rotation[0]
+		g.rotation = g.rotation[1:]
 		if state, ok := states[target]; ok && state != fleet.StateGone {
 			return target, true
 		}
